--- a/features/gateway_support.py
+++ b/features/gateway_support.py
@@ -198,6 +198,7 @@
     drain_times: DrainTimes = field(default_factory=DrainTimes)
     peer_port: int = 0
     records_port: int = 0
+    operations_port: int = 0
     seeds: tuple[str, ...] = ()
     log_path: Path = Path(os.devnull)
     _log: int = -1
@@ -213,7 +214,7 @@
             readiness=Address(self.host, 0),
             peers=Address(self.host, self.peer_port),
             records=Address(self.host, self.records_port),
-            operations=Address(self.host, 0),
+            operations=Address(self.host, self.operations_port),
             seeds=self.seeds,
             names=HeaderNames(),
             server_pace_s=0.01,
