--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -279,7 +279,6 @@
     words = course.split()
     if "lost" in words:
         follower._reachable = "regained" in words
-        follower.lost_at = float(words[words.index("lost") + 1])
     if "regained" in words:
         follower.regained_at = float(words[words.index("regained") + 1])
     return follower
--- a/features/steps/gateway_wire_steps.py
+++ b/features/steps/gateway_wire_steps.py
@@ -268,9 +268,18 @@
 
 @then("at most {count:d} connection to each backend server is kept")
 def step_kept(context, count):
-    pool = context.fixture.gateway.context.pool
-    kept = [pool.count_resting(name) for name in context.fixture.backends]
-    assert max(kept) <= count, kept
+    backends = context.fixture.backends.values()
+
+    def are_few() -> bool:
+        return max(b.connections - b.ended for b in backends) <= count
+
+    async def measure_wait() -> float:
+        began = context.loop.time()
+        await wait_for(are_few, "surplus connections end")
+        return context.loop.time() - began
+
+    # A connection that was kept would end only after the pool's time, 4 s.
+    assert run(context, measure_wait()) < 2.0
 
 
 @given("a budget of {count:d} retry")
--- a/src/ramppin/connection/datagrams.py
+++ b/src/ramppin/connection/datagrams.py
@@ -15,9 +15,6 @@
 
 LOG = logging.getLogger(__name__)
 
-MAX_DATAGRAM_BYTES = 1_300
-"""Stays below the usual path limit, so that datagrams aren't split."""
-
 
 class HomeHint(msgspec.Struct, array_like=True, frozen=True):
     """Where a prefix is: its key, the backend server, and the age in ms."""
@@ -55,7 +52,6 @@
     def __init__(self, take: Callable[[PeerHints, str], None]) -> None:
         self._take = take
         self._transport: asyncio.DatagramTransport | None = None
-        self.sent = 0
 
     @property
     def port(self) -> int:
@@ -98,7 +94,6 @@
         data = _ENCODER.encode(hints)
         for host in hosts:
             self._transport.sendto(data, (host, port))
-            self.sent += 1
 
     def close(self) -> None:
         """Close the link."""
--- a/src/ramppin/connection/pool.py
+++ b/src/ramppin/connection/pool.py
@@ -68,10 +68,6 @@
         connection.rested_since = asyncio.get_running_loop().time()
         self.release(connection)
 
-    def count_resting(self, peer: str) -> int:
-        """Return how many connections to a backend server rest."""
-        return len(self._resting.get(peer, ()))
-
     def drop_peer(self, peer: str) -> None:
         """Close what rests of a backend server that is gone."""
         for connection in self._resting.pop(peer, []):
--- a/src/ramppin/connection/upstream.py
+++ b/src/ramppin/connection/upstream.py
@@ -71,7 +71,6 @@
         self.peer = peer
         self.rested_since = 0.0
         self.rest_limit_s: float | None = None
-        self.requests = 0
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._receiver: AnswerReceiver | None = None
@@ -160,7 +159,6 @@
         self._head_request = head_request
         self._until_close = False
         self._skipping = False
-        self.requests += 1
         self._parser = httptools.HttpResponseParser(self)
         self._headers = []
         self._transport.write(head + body if body else head)
--- a/src/ramppin/process/recovery/follower.py
+++ b/src/ramppin/process/recovery/follower.py
@@ -61,7 +61,6 @@
         self._reachable = True
         self._complete = False
         self._first_read_timeout_s = FIRST_READ_TIMEOUT_S
-        self.lost_at = float("-inf")
         self.regained_at = float("-inf")
 
     @property
@@ -134,7 +133,6 @@
     def _note_lost(self, error: LogUnavailableError) -> None:
         if self._reachable:
             self._reachable = False
-            self.lost_at = asyncio.get_running_loop().time()
             LOG.warning("log lost: %s", error, extra={"step": self._replica.name})
 
     def _note_regained(self) -> None:
--- a/src/ramppin/process/recovery/sources.py
+++ b/src/ramppin/process/recovery/sources.py
@@ -8,19 +8,10 @@
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
 
-from ramppin.errors import LogTrimmedError, LogUnavailableError
 from ramppin.process.recovery.replica import Record
 from ramppin.process.routing.directory import BackendServer
 from ramppin.version.routing import RoutingTable
 
-__all__ = [
-    "LogTrimmedError",
-    "LogUnavailableError",
-    "RecordBatch",
-    "RecordLog",
-    "RecordSource",
-]
-
 
 @dataclass(frozen=True, slots=True)
 class RecordBatch:
--- a/src/ramppin/process/recovery/tables.py
+++ b/src/ramppin/process/recovery/tables.py
@@ -232,4 +232,4 @@
         if hold_end is not None:
             directory.hold(server_id, hold_end)
         else:
-            directory.mark_missing(server_id, now)
+            directory.mark_missing(server_id)
--- a/src/ramppin/process/routing/directory.py
+++ b/src/ramppin/process/routing/directory.py
@@ -47,7 +47,7 @@
         self.server = server
         self.in_flight = 0
         self.health = ServerHealth()
-        self.missing_since: float | None = None
+        self.missing = False
         self.held_until: float | None = None
         self._reported = 0
         self._reported_at = float("-inf")
@@ -61,7 +61,7 @@
     @property
     def open(self) -> bool:
         """Whether the server may get new work."""
-        return not self.server.draining and self.missing_since is None
+        return not self.server.draining and not self.missing
 
     def note_load(self, running: int, waiting: int, now: float) -> None:
         """Take the load that an answer told."""
@@ -84,14 +84,10 @@
 class ServerDirectory:
     """Backend servers by service.
 
-    Args:
-        missing_hold_s: how long a server whose entry vanished is still used.
-
     .. versionadded:: 0.2
     """
 
-    def __init__(self, *, missing_hold_s: float = 0.0) -> None:
-        self._missing_hold_s = missing_hold_s
+    def __init__(self) -> None:
         self._states: dict[str, ServerState] = {}
         self._by_service: dict[str, dict[str, ServerState]] = {}
 
@@ -113,7 +109,7 @@
         elif state.server.service != server.service:
             self._by_service[state.server.service].pop(server.id, None)
         state.server = server
-        state.missing_since = None
+        state.missing = False
         state.held_until = None
         self._by_service.setdefault(server.service, {})[server.id] = state
         return state
@@ -124,24 +120,19 @@
         if state is not None and state.held_until is None:
             state.held_until = until
 
-    def mark_missing(self, server_id: str, now: float) -> None:
+    def mark_missing(self, server_id: str) -> None:
         """Note that a backend server's entry vanished."""
         state = self._states.get(server_id)
-        if state is not None and state.missing_since is None:
-            state.missing_since = now
+        if state is not None:
+            state.missing = True
 
     def remove_missing(self, now: float) -> list[str]:
-        """Remove servers that have been missing too long; return their ids."""
+        """Remove servers whose entry is missing; return their ids."""
         for state in self._states.values():
             if state.held_until is not None and now >= state.held_until:
                 state.held_until = None
-                state.missing_since = now
-        gone = [
-            state.id
-            for state in self._states.values()
-            if state.missing_since is not None
-            and now - state.missing_since >= self._missing_hold_s
-        ]
+                state.missing = True
+        gone = [state.id for state in self._states.values() if state.missing]
         for server_id in gone:
             state = self._states.pop(server_id)
             self._by_service[state.server.service].pop(server_id, None)
@@ -162,7 +153,7 @@
         One that is leaving will do, as long as it is heard and not yet gone.
         """
         state = self._states.get(server_id) if server_id else None
-        if state is None or state.missing_since is not None:
+        if state is None or state.missing:
             return None
         return None if state.health.is_aside(now) else state.server
 
--- a/src/ramppin/request/attempt.py
+++ b/src/ramppin/request/attempt.py
@@ -53,7 +53,6 @@
 
     Attributes:
         end: how it ended.
-        started: whether the caller has got a part of the answer.
         status: the server's status; 0 if there was none.
         answer: a whole answer that was not passed on.
         last_event_id: the last event that the caller got.
@@ -62,7 +61,6 @@
     """
 
     end: AttemptEnd
-    started: bool = False
     status: int = 0
     answer: tuple[AnswerHead, bytes] | None = None
     last_event_id: bytes | None = None
@@ -96,7 +94,7 @@
         previous: Attempt | None,
         streams: bool,
         resumable: bool,
-        may_move: Callable[[], bool] = lambda: False,
+        may_move: Callable[[], bool],
     ) -> None:
         self._names = names
         self._caller = caller
@@ -313,7 +311,6 @@
         self._result.set_result(
             AttemptResult(
                 end,
-                started=self.started,
                 status=self._head.status if self._head else 0,
                 answer=answer,
                 last_event_id=events.last_id if events else None,
--- a/src/ramppin/version/routing.py
+++ b/src/ramppin/version/routing.py
@@ -46,7 +46,6 @@
         resumable: whether a stream may be continued by another backend server.
         time_limit_s: longest time that a request is held.
         max_attempts: most backend servers that may run one request.
-        target_latency_s: time within which an answer has its full value.
         priority: rank among routes; 0 is the most urgent.
         public: whether requests need no key.
         keeps_prefix: whether backend servers cache prompt prefixes.
@@ -60,7 +59,6 @@
     resumable: bool = False
     time_limit_s: float = 30.0
     max_attempts: int = 1
-    target_latency_s: float = 1.0
     priority: int = 0
     public: bool = False
     keeps_prefix: bool = False
@@ -77,15 +75,12 @@
 
     Attributes:
         name: the service's name.
-        max_connections: connections that one backend server takes in all.
-        slots: requests that one backend server runs at once; 0 if unknown.
-        cache_tokens: prompt tokens that one backend server keeps; 0 if none.
+        max_connections: connections that one backend server takes in all; 0 for
+            any number.
     """
 
     name: str
     max_connections: int = 0
-    slots: int = 0
-    cache_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/ramppin/version/routingfile.py
+++ b/src/ramppin/version/routingfile.py
@@ -24,9 +24,15 @@
     WeightedService,
 )
 
+UNUSED_RULES = frozenset({"target_latency_s"})
+"""Rules that settings may hold and that no route uses."""
+
 
 class RouteRules(msgspec.Struct, forbid_unknown_fields=True):
-    """Rules that every level may set; None inherits. Times in seconds."""
+    """Rules that every level may set; None inherits. Times in seconds.
+
+    ``target_latency_s`` is accepted and has no effect.
+    """
 
     kind: RouteKind | None = None
     resumable: bool | None = None
@@ -54,7 +60,10 @@
 
 
 class ServiceNode(msgspec.Struct, forbid_unknown_fields=True):
-    """A service and the rules that its routes inherit."""
+    """A service and the rules that its routes inherit.
+
+    ``slots`` and ``cache_tokens`` are accepted and have no effect.
+    """
 
     max_connections: int = 0
     slots: int = 0
@@ -149,7 +158,7 @@
         version=tree.version,
         routes=tuple(routes),
         services={
-            name: ServiceSpec(name, node.max_connections, node.slots, node.cache_tokens)
+            name: ServiceSpec(name, node.max_connections)
             for name, node in tree.services.items()
         },
         customers={
@@ -192,7 +201,7 @@
     found: dict[str, Any] = {}
     for rules in levels:
         for name, value in msgspec.structs.asdict(rules).items():
-            if value is not None:
+            if value is not None and name not in UNUSED_RULES:
                 found[name] = value
     return found
 
