--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -28,11 +28,11 @@
     SettingsHistory,
     SettingsTree,
 )
-from ramppin.connection.links import Meter, PeerLinks, Send
-from ramppin.connection.messages import Ask, Free, Granted, Message
-from ramppin.connection.peerserver import PeerHandler, PeerServer
-from ramppin.process.claims.claims import StoredAnswer
-from ramppin.request.trace import Trace, TraceStore
+from ramppin.router.connection.links import Meter, PeerLinks, Send
+from ramppin.router.connection.messages import Ask, Free, Granted, Message
+from ramppin.router.connection.peerserver import PeerHandler, PeerServer
+from ramppin.router.process.claims.claims import StoredAnswer
+from ramppin.router.request.trace import Trace, TraceStore
 
 PAGE = Path("docs/CAPACITY.md")
 KEY = "capacity-key"
@@ -630,7 +630,7 @@
 
 def measure_sizes() -> dict[str, int]:
     """Return the bytes of the messages of a place, with the frame's head."""
-    from ramppin.connection.messages import encode_message
+    from ramppin.router.connection.messages import encode_message
 
     messages: list[Message] = [
         Ask("pool-1", 100_000, 2**63, "service-1", -1, "customer-100", True, 30_000),
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -19,9 +19,9 @@
     Settings,
     SettingsTree,
 )
-from ramppin.connection.messages import Ask, Free, Granted, Message, Refused
-from ramppin.connection.messages import encode_message as encode
-from ramppin.request.placement import Decision
+from ramppin.router.connection.messages import Ask, Free, Granted, Message, Refused
+from ramppin.router.connection.messages import encode_message as encode
+from ramppin.router.request.placement import Decision
 
 FRAME_BYTES = 6
 """A websocket frame's head from a client (2 bytes, and 4 of mask)."""
--- a/bench/wire.py
+++ b/bench/wire.py
@@ -8,9 +8,9 @@
 
 import aiohttp
 
-from ramppin.connection.log import LogClient
-from ramppin.connection.vmlist import VmListClient
 from ramppin.errors import RamppinError
+from ramppin.router.connection.log import LogClient
+from ramppin.router.connection.vmlist import VmListClient
 from standins.common import StandIn
 from standins.log import LogStandIn
 from standins.vms import VmListStandIn
--- a/features/gateway_support.py
+++ b/features/gateway_support.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ramppin.connection.httpwire import HeaderNames
-from ramppin.process.gateway import Gateway
-from ramppin.process.gatewayconfig import Address, GatewayConfig
-from ramppin.process.limits.drain import DrainTimes
-from ramppin.process.recovery.tables import GatewaySources
-from ramppin.process.reporting.decisions import DecisionLog
-from ramppin.version.routingfile import TreeDecoder
+from ramppin.gateway.connection.httpwire import HeaderNames
+from ramppin.gateway.process.config import Address, GatewayConfig
+from ramppin.gateway.process.gateway import Gateway
+from ramppin.gateway.process.limits.drain import DrainTimes
+from ramppin.gateway.process.recovery.tables import GatewaySources
+from ramppin.gateway.process.reporting.decisions import DecisionLog
+from ramppin.gateway.version.routingfile import TreeDecoder
 from standins.backend import BackendStandIn
 from standins.common import wait_for
 from standins.tables import TableStandIn
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -14,21 +14,21 @@
 
 from features.gateway_support import build_tree
 from ramppin.errors import SettingsError
-from ramppin.process.context import GatewayContext
-from ramppin.process.limits.retries import RetryWindow
-from ramppin.process.membership.health import SILENCE_S, Outcome, ServerHealth
-from ramppin.process.recovery.follower import Follower
-from ramppin.process.recovery.replica import Record, Replica
-from ramppin.process.routing.directory import BackendServer, ServerDirectory
-from ramppin.process.routing.prefixhomes import HomeNotice, PrefixHomes
-from ramppin.process.routing.selection import (
+from ramppin.gateway.process.context import GatewayContext
+from ramppin.gateway.process.limits.retries import RetryWindow
+from ramppin.gateway.process.membership.health import SILENCE_S, Outcome, ServerHealth
+from ramppin.gateway.process.recovery.follower import Follower
+from ramppin.gateway.process.recovery.replica import Record, Replica
+from ramppin.gateway.process.routing.directory import BackendServer, ServerDirectory
+from ramppin.gateway.process.routing.homes import HomeNotice, PrefixHomes
+from ramppin.gateway.process.routing.selection import (
     PrefixSelection,
     SelectionRequest,
     list_usable,
 )
-from ramppin.request.events import EventSplitter
-from ramppin.request.ranking import hash_name, mix
-from ramppin.version.routingfile import TreeDecoder
+from ramppin.gateway.request.events import EventSplitter
+from ramppin.gateway.version.routingfile import TreeDecoder
+from ramppin.ranking import hash_name, mix
 from standins.tables import TableStandIn
 
 GENERATION = generation(max_examples=60, deadline=None, derandomize=True)
--- a/features/steps/gateway_record_steps.py
+++ b/features/steps/gateway_record_steps.py
@@ -14,8 +14,8 @@
     encode_request,
 )
 from ramppin.errors import LogUnavailableError
-from ramppin.process.recovery.follower import Follower
-from ramppin.process.recovery.replica import Replica
+from ramppin.gateway.process.recovery.follower import Follower
+from ramppin.gateway.process.recovery.replica import Replica
 from standins.common import wait_for
 from standins.tables import TableStandIn
 
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -9,9 +9,17 @@
 from behave import given, then, when
 
 from features.gateway_support import build_tree
-from ramppin.process.membership.fleet import FleetMembers, Member, MemberRecord
-from ramppin.process.recovery.relays import RelayedSource, RelayTimes, choose_relays
-from ramppin.process.recovery.replica import Record
+from ramppin.gateway.process.membership.members import (
+    FleetMembers,
+    Member,
+    MemberRecord,
+)
+from ramppin.gateway.process.recovery.relays import (
+    RelayedSource,
+    RelayTimes,
+    choose_relays,
+)
+from ramppin.gateway.process.recovery.replica import Record
 from standins.common import wait_for
 from standins.tables import TableStandIn
 
--- a/features/steps/gateway_wire_steps.py
+++ b/features/steps/gateway_wire_steps.py
@@ -13,8 +13,8 @@
     build_tree,
     encode_request,
 )
-from ramppin.process.context import RetryRules
-from ramppin.process.limits.drain import POLL_S, Drain, DrainTimes
+from ramppin.gateway.process.context import RetryRules
+from ramppin.gateway.process.limits.drain import POLL_S, Drain, DrainTimes
 from standins.backend import Reply
 from standins.common import wait_for
 
--- a/features/steps/interface_steps.py
+++ b/features/steps/interface_steps.py
@@ -29,15 +29,9 @@
     encode_request,
 )
 from ramppin.cli import app
-from ramppin.connection import messages
-from ramppin.connection.datagrams import HomeHint, PeerHints
-from ramppin.connection.links import Meter
-from ramppin.process.claims.claims import ClaimRecord
-from ramppin.process.config import RouterConfig
-from ramppin.process.gatewayfile import GatewayFile
-from ramppin.process.membership.fleet import MemberRecord
-from ramppin.process.membership.leases import LeaseRecord
-from ramppin.process.recovery.peerrecords import (
+from ramppin.gateway.connection.datagrams import HomeHint, PeerHints
+from ramppin.gateway.process.membership.members import MemberRecord
+from ramppin.gateway.process.recovery.peerrecords import (
     PeerAnswer,
     PeerQuestion,
     PeerRecord,
@@ -45,15 +39,21 @@
     encode_answer,
     encode_question,
 )
-from ramppin.process.reporting.decisions import DecisionLog
-from ramppin.process.reporting.gatewaymetrics import GatewayMetrics
-from ramppin.process.reporting.metrics import Metrics
-from ramppin.process.routing.homesnapshot import SNAPSHOT_KEY, HomeSnapshot
-from ramppin.request.admission import Denial
-from ramppin.request.attempt import AttemptEnd
-from ramppin.version.acceptance import SettingsRecord
-from ramppin.version.routingfile import RoutingTree, ServerNode
-from ramppin.version.schema import SettingsTree
+from ramppin.gateway.process.reporting.decisions import DecisionLog
+from ramppin.gateway.process.reporting.metrics import GatewayMetrics
+from ramppin.gateway.process.routing.homesnapshot import SNAPSHOT_KEY, HomeSnapshot
+from ramppin.gateway.process.settingsfile import GatewayFile
+from ramppin.gateway.request.admission import Denial
+from ramppin.gateway.request.attempt import AttemptEnd
+from ramppin.gateway.version.routingfile import RoutingTree, ServerNode
+from ramppin.router.connection import messages
+from ramppin.router.connection.links import Meter
+from ramppin.router.process.claims.claims import ClaimRecord
+from ramppin.router.process.config import RouterConfig
+from ramppin.router.process.membership.leases import LeaseRecord
+from ramppin.router.process.reporting.metrics import Metrics
+from ramppin.router.version.acceptance import SettingsRecord
+from ramppin.router.version.schema import SettingsTree
 from ramppin_platform import vocabulary
 from ramppin_platform.records import ConfigRecord, ServerRecord
 from ramppin_platform.settings import PlatformSettings
--- a/features/support.py
+++ b/features/support.py
@@ -9,7 +9,7 @@
 import aiohttp
 import json5
 
-from ramppin.version.tree import hash_key
+from ramppin.router.version.tree import hash_key
 from standins.fleet import FleetInProcess, FleetOptions
 
 
--- a/src/ramppin/__init__.py
+++ b/src/ramppin/__init__.py
@@ -25,76 +25,82 @@
         RefusedError,
         SettingsError,
     )
-    from ramppin.process.claims.claims import ClaimTable, HeldClaims
-    from ramppin.process.config import RouterConfig, load_config
-    from ramppin.process.gateway import Gateway
-    from ramppin.process.gatewayconfig import GatewayConfig
-    from ramppin.process.limits.retries import RetryWindow
-    from ramppin.process.membership.leases import LeaseHolder, LeaseTable
-    from ramppin.process.recovery.replica import Replica
-    from ramppin.process.recovery.tables import GatewaySources
-    from ramppin.process.router import Router
-    from ramppin.process.routing.allocator import Allocator
-    from ramppin.process.routing.directory import ServerDirectory
-    from ramppin.process.routing.homes import Homes
-    from ramppin.process.routing.load import Member, compute_cap
-    from ramppin.process.routing.queue import FairQueue
-    from ramppin.process.routing.selection import PrefixSelection
-    from ramppin.request.identity import hash_chat, hash_opening
-    from ramppin.request.outcome import Outcome
-    from ramppin.request.placement import Grant, PlaceId, PlaceRequest, Reason, Refusal
-    from ramppin.request.ranking import Ranking, RendezvousRanking
-    from ramppin.version.acceptance import SettingsHistory
-    from ramppin.version.routing import RoutingTable
-    from ramppin.version.schema import SettingsTree
-    from ramppin.version.tree import Settings
+    from ramppin.gateway.process.config import GatewayConfig
+    from ramppin.gateway.process.gateway import Gateway
+    from ramppin.gateway.process.limits.retries import RetryWindow
+    from ramppin.gateway.process.recovery.replica import Replica
+    from ramppin.gateway.process.recovery.tables import GatewaySources
+    from ramppin.gateway.process.routing.directory import ServerDirectory
+    from ramppin.gateway.process.routing.selection import PrefixSelection
+    from ramppin.gateway.version.routing import RoutingTable
+    from ramppin.ranking import Ranking, RendezvousRanking
+    from ramppin.router.process.claims.claims import ClaimTable, HeldClaims
+    from ramppin.router.process.config import RouterConfig, load_config
+    from ramppin.router.process.membership.leases import LeaseHolder, LeaseTable
+    from ramppin.router.process.router import Router
+    from ramppin.router.process.routing.allocator import Allocator
+    from ramppin.router.process.routing.homes import Homes
+    from ramppin.router.process.routing.load import Member, compute_cap
+    from ramppin.router.process.routing.queue import FairQueue
+    from ramppin.router.request.identity import hash_chat, hash_opening
+    from ramppin.router.request.outcome import Outcome
+    from ramppin.router.request.placement import (
+        Grant,
+        PlaceId,
+        PlaceRequest,
+        Reason,
+        Refusal,
+    )
+    from ramppin.router.version.acceptance import SettingsHistory
+    from ramppin.router.version.schema import SettingsTree
+    from ramppin.router.version.tree import Settings
 
 _MODULES = {
-    "Allocator": "ramppin.process.routing.allocator",
+    "Allocator": "ramppin.router.process.routing.allocator",
     "AppendUnknownError": "ramppin.errors",
     "BrokenAnswerError": "ramppin.errors",
-    "ClaimTable": "ramppin.process.claims.claims",
+    "ClaimTable": "ramppin.router.process.claims.claims",
     "ConflictError": "ramppin.errors",
-    "FairQueue": "ramppin.process.routing.queue",
-    "Gateway": "ramppin.process.gateway",
-    "GatewayConfig": "ramppin.process.gatewayconfig",
-    "GatewaySources": "ramppin.process.recovery.tables",
-    "Grant": "ramppin.request.placement",
-    "HeldClaims": "ramppin.process.claims.claims",
-    "Homes": "ramppin.process.routing.homes",
-    "LeaseHolder": "ramppin.process.membership.leases",
-    "LeaseTable": "ramppin.process.membership.leases",
+    "FairQueue": "ramppin.router.process.routing.queue",
+    "Gateway": "ramppin.gateway.process.gateway",
+    "GatewayConfig": "ramppin.gateway.process.config",
+    "GatewaySources": "ramppin.gateway.process.recovery.tables",
+    "Grant": "ramppin.router.request.placement",
+    "HeldClaims": "ramppin.router.process.claims.claims",
+    "Homes": "ramppin.router.process.routing.homes",
+    "LeaseHolder": "ramppin.router.process.membership.leases",
+    "LeaseTable": "ramppin.router.process.membership.leases",
     "LogTrimmedError": "ramppin.errors",
     "LogUnavailableError": "ramppin.errors",
-    "Member": "ramppin.process.routing.load",
+    "Member": "ramppin.router.process.routing.load",
     "NotSentError": "ramppin.errors",
-    "Outcome": "ramppin.request.outcome",
+    "Outcome": "ramppin.router.request.outcome",
     "PeerNotListedError": "ramppin.errors",
     "PeerUnavailableError": "ramppin.errors",
-    "PlaceId": "ramppin.request.placement",
-    "PlaceRequest": "ramppin.request.placement",
-    "PrefixSelection": "ramppin.process.routing.selection",
+    "PlaceId": "ramppin.router.request.placement",
+    "PlaceRequest": "ramppin.router.request.placement",
+    "PrefixSelection": "ramppin.gateway.process.routing.selection",
     "ProtocolError": "ramppin.errors",
     "RamppinError": "ramppin.errors",
-    "Ranking": "ramppin.request.ranking",
-    "Reason": "ramppin.request.placement",
-    "Refusal": "ramppin.request.placement",
+    "Ranking": "ramppin.ranking",
+    "Reason": "ramppin.router.request.placement",
+    "Refusal": "ramppin.router.request.placement",
     "RefusedError": "ramppin.errors",
-    "RendezvousRanking": "ramppin.request.ranking",
-    "Replica": "ramppin.process.recovery.replica",
-    "RetryWindow": "ramppin.process.limits.retries",
-    "Router": "ramppin.process.router",
-    "RouterConfig": "ramppin.process.config",
-    "RoutingTable": "ramppin.version.routing",
-    "ServerDirectory": "ramppin.process.routing.directory",
-    "Settings": "ramppin.version.tree",
+    "RendezvousRanking": "ramppin.ranking",
+    "Replica": "ramppin.gateway.process.recovery.replica",
+    "RetryWindow": "ramppin.gateway.process.limits.retries",
+    "Router": "ramppin.router.process.router",
+    "RouterConfig": "ramppin.router.process.config",
+    "RoutingTable": "ramppin.gateway.version.routing",
+    "ServerDirectory": "ramppin.gateway.process.routing.directory",
+    "Settings": "ramppin.router.version.tree",
     "SettingsError": "ramppin.errors",
-    "SettingsHistory": "ramppin.version.acceptance",
-    "SettingsTree": "ramppin.version.schema",
-    "compute_cap": "ramppin.process.routing.load",
-    "hash_chat": "ramppin.request.identity",
-    "hash_opening": "ramppin.request.identity",
-    "load_config": "ramppin.process.config",
+    "SettingsHistory": "ramppin.router.version.acceptance",
+    "SettingsTree": "ramppin.router.version.schema",
+    "compute_cap": "ramppin.router.process.routing.load",
+    "hash_chat": "ramppin.router.request.identity",
+    "hash_opening": "ramppin.router.request.identity",
+    "load_config": "ramppin.router.process.config",
 }
 
 __all__ = [
--- a/src/ramppin/cli.py
+++ b/src/ramppin/cli.py
@@ -17,24 +17,24 @@
 from returns.result import Failure, Success
 
 from ramppin import formatting
-from ramppin.connection.operator import OperatorClient
+from ramppin.document import read_document, validate_document
 from ramppin.errors import RamppinError
-from ramppin.process.config import RouterConfig, load_config
-from ramppin.process.gateway import Gateway
-from ramppin.process.gatewayfile import GatewayFile, load_gateway_file
-from ramppin.process.recovery.filetables import (
+from ramppin.gateway.process.gateway import Gateway
+from ramppin.gateway.process.recovery.filetables import (
     ROUTING_PART,
     SERVERS_PART,
     FileTable,
     LocalTable,
 )
-from ramppin.process.recovery.tables import GatewaySources
-from ramppin.process.reporting.decisions import DecisionLog
-from ramppin.process.reporting.logs import start_logging
-from ramppin.process.router import Router
-from ramppin.version.document import read_document, validate_document
-from ramppin.version.routingfile import TreeDecoder
-from ramppin.version.schema import SettingsTree
+from ramppin.gateway.process.recovery.tables import GatewaySources
+from ramppin.gateway.process.reporting.decisions import DecisionLog
+from ramppin.gateway.process.settingsfile import GatewayFile, load_gateway_file
+from ramppin.gateway.version.routingfile import TreeDecoder
+from ramppin.logs import start_logging
+from ramppin.router.connection.operator import OperatorClient
+from ramppin.router.process.config import RouterConfig, load_config
+from ramppin.router.process.router import Router
+from ramppin.router.version.schema import SettingsTree
 
 EXIT_CODES = (
     "Exit codes: 0 done, 1 error, 2 bad settings or usage, 3 conflict with a "
--- /dev/null
+++ b/src/ramppin/gateway/connection/__init__.py
@@ -0,0 +1,1 @@
+"""What lives for a connection: callers, backend servers, datagrams, calls to peers."""
--- a/src/ramppin/connection/callerwire.py
+++ b/src/ramppin/gateway/connection/callerwire.py
@@ -13,19 +13,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ramppin.connection.httpwire import (
+from ramppin.gateway.connection.httpwire import (
     LAST_CHUNK,
     Headers,
     encode_answer,
     encode_chunk,
 )
-from ramppin.connection.requestreader import (
+from ramppin.gateway.connection.requestreader import (
     CallerRequest,
     RefusedRequestError,
     RequestReader,
     RequestTaker,
 )
-from ramppin.version.routing import CallerLimits
+from ramppin.gateway.version.routing import CallerLimits
 
 MAX_QUEUED = 2
 """Requests of one connection that wait behind the one in flight."""
--- a/src/ramppin/connection/fetch.py
+++ b/src/ramppin/gateway/connection/fetch.py
@@ -9,14 +9,14 @@
 import asyncio
 from dataclasses import dataclass
 
-from ramppin.connection.httpwire import Headers, encode_request
-from ramppin.connection.upstream import (
+from ramppin.errors import BrokenAnswerError, LogUnavailableError, NotSentError
+from ramppin.gateway.connection.httpwire import Headers, encode_request
+from ramppin.gateway.connection.upstream import (
     AnswerHead,
     AnswerReceiver,
     UpstreamConnection,
     open_connection,
 )
-from ramppin.errors import BrokenAnswerError, LogUnavailableError, NotSentError
 
 CONNECT_TIMEOUT_S = 0.6
 
--- a/src/ramppin/connection/pool.py
+++ b/src/ramppin/gateway/connection/pool.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from ramppin.connection.upstream import UpstreamConnection, open_connection
+from ramppin.gateway.connection.upstream import UpstreamConnection, open_connection
 
 
 class ConnectionPool:
--- a/src/ramppin/connection/requestreader.py
+++ b/src/ramppin/gateway/connection/requestreader.py
@@ -8,8 +8,8 @@
 
 import httptools
 
-from ramppin.connection.httpwire import Headers, find_header
-from ramppin.version.routing import CallerLimits
+from ramppin.gateway.connection.httpwire import Headers, find_header
+from ramppin.gateway.version.routing import CallerLimits
 
 
 @dataclass(slots=True)
--- a/src/ramppin/connection/upstream.py
+++ b/src/ramppin/gateway/connection/upstream.py
@@ -14,8 +14,8 @@
 
 import httptools
 
-from ramppin.connection.httpwire import Headers, find_header
 from ramppin.errors import BrokenAnswerError, NotSentError
+from ramppin.gateway.connection.httpwire import Headers, find_header
 
 USER_TIMEOUT_MS = 10_000
 """Unacknowledged bytes end a connection after this long (TCP_USER_TIMEOUT)."""
--- /dev/null
+++ b/src/ramppin/gateway/process/__init__.py
@@ -0,0 +1,1 @@
+"""What lives for a gateway process, by what is decided."""
--- a/src/ramppin/process/gatewayconfig.py
+++ b/src/ramppin/gateway/process/config.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass, field
 
-from ramppin.connection.httpwire import HeaderNames
-from ramppin.process.context import RetryRules
-from ramppin.process.limits.drain import DrainTimes
+from ramppin.gateway.connection.httpwire import HeaderNames
+from ramppin.gateway.process.context import RetryRules
+from ramppin.gateway.process.limits.drain import DrainTimes
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/ramppin/process/context.py
+++ b/src/ramppin/gateway/process/context.py
@@ -8,21 +8,21 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ramppin.connection.callerwire import ListenerState
-from ramppin.connection.httpwire import HeaderNames
-from ramppin.connection.pool import ConnectionPool
-from ramppin.process.limits.drain import Drain
-from ramppin.process.limits.retries import RetryWindow
-from ramppin.process.reporting.decisions import DecisionLog
-from ramppin.process.reporting.explanations import Explanations
-from ramppin.process.reporting.gatewaymetrics import GatewayMetrics
-from ramppin.process.routing.directory import ServerDirectory
-from ramppin.process.routing.selection import (
+from ramppin.gateway.connection.callerwire import ListenerState
+from ramppin.gateway.connection.httpwire import HeaderNames
+from ramppin.gateway.connection.pool import ConnectionPool
+from ramppin.gateway.process.limits.drain import Drain
+from ramppin.gateway.process.limits.retries import RetryWindow
+from ramppin.gateway.process.reporting.decisions import DecisionLog
+from ramppin.gateway.process.reporting.explanations import Explanations
+from ramppin.gateway.process.reporting.metrics import GatewayMetrics
+from ramppin.gateway.process.routing.directory import ServerDirectory
+from ramppin.gateway.process.routing.selection import (
     NearestSelection,
     PrefixSelection,
     SelectionStrategy,
 )
-from ramppin.version.routing import RoutingTable
+from ramppin.gateway.version.routing import RoutingTable
 
 OLDEST_S = 999_999.0
 
--- a/src/ramppin/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -12,28 +12,28 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ramppin.connection.callerwire import (
+from ramppin.gateway.connection.callerwire import (
     CallerConnection,
     ListenerState,
     Refusal,
     Responder,
 )
-from ramppin.connection.datagrams import DatagramLink, PeerHints
-from ramppin.connection.httpwire import find_header
-from ramppin.connection.pool import ConnectionPool
-from ramppin.process.context import GatewayContext
-from ramppin.process.gatewayconfig import Address, GatewayConfig
-from ramppin.process.limits.drain import Drain
-from ramppin.process.limits.readiness import ReadinessResponder
-from ramppin.process.operations import GatewayState, OperationsResponder
-from ramppin.process.recovery.peerrecords import RecordsResponder
-from ramppin.process.recovery.tables import GatewaySources, GatewayTables
-from ramppin.process.reporting.decisions import DecisionLog
-from ramppin.process.routing.directory import ServerDirectory
-from ramppin.process.routing.hints import HintExchange
-from ramppin.process.routing.prefixhomes import PrefixHomes
-from ramppin.process.routing.selection import NearestSelection, PrefixSelection
-from ramppin.request.exchange import ExchangeResponder
+from ramppin.gateway.connection.datagrams import DatagramLink, PeerHints
+from ramppin.gateway.connection.httpwire import find_header
+from ramppin.gateway.connection.pool import ConnectionPool
+from ramppin.gateway.process.config import Address, GatewayConfig
+from ramppin.gateway.process.context import GatewayContext
+from ramppin.gateway.process.limits.drain import Drain
+from ramppin.gateway.process.limits.readiness import ReadinessResponder
+from ramppin.gateway.process.operations import GatewayState, OperationsResponder
+from ramppin.gateway.process.recovery.peerrecords import RecordsResponder
+from ramppin.gateway.process.recovery.tables import GatewaySources, GatewayTables
+from ramppin.gateway.process.reporting.decisions import DecisionLog
+from ramppin.gateway.process.routing.directory import ServerDirectory
+from ramppin.gateway.process.routing.hints import HintExchange
+from ramppin.gateway.process.routing.homes import PrefixHomes
+from ramppin.gateway.process.routing.selection import NearestSelection, PrefixSelection
+from ramppin.gateway.request.exchange import ExchangeResponder
 
 SWEEP_S = 0.25
 LISTEN_BACKLOG = 1024
--- a/src/ramppin/process/limits/drain.py
+++ b/src/ramppin/gateway/process/limits/drain.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from ramppin.connection.callerwire import ListenerState
+from ramppin.gateway.connection.callerwire import ListenerState
 
 POLL_S = 0.05
 
--- a/src/ramppin/process/limits/readiness.py
+++ b/src/ramppin/gateway/process/limits/readiness.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from ramppin.connection.callerwire import CallerConnection, Responder
-from ramppin.connection.requestreader import CallerRequest
+from ramppin.gateway.connection.callerwire import CallerConnection, Responder
+from ramppin.gateway.connection.requestreader import CallerRequest
 
 
 class ReadinessResponder(Responder):
--- a/src/ramppin/process/membership/fleet.py
+++ b/src/ramppin/gateway/process/membership/members.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from ramppin.errors import LogUnavailableError
-from ramppin.process.recovery.replica import Record
-from ramppin.process.recovery.sources import RecordLog
+from ramppin.gateway.process.recovery.replica import Record
+from ramppin.gateway.process.recovery.sources import RecordLog
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/operations.py
+++ b/src/ramppin/gateway/process/operations.py
@@ -11,12 +11,12 @@
 
 from prometheus_client.exposition import CONTENT_TYPE_LATEST, generate_latest
 
-from ramppin.connection.callerwire import CallerConnection, Responder
-from ramppin.connection.requestreader import CallerRequest
-from ramppin.process.context import GatewayContext
-from ramppin.process.recovery.peerrecords import FollowedTable
-from ramppin.process.reporting.explanations import Explanations
-from ramppin.process.reporting.gatewaymetrics import GatewayMetrics
+from ramppin.gateway.connection.callerwire import CallerConnection, Responder
+from ramppin.gateway.connection.requestreader import CallerRequest
+from ramppin.gateway.process.context import GatewayContext
+from ramppin.gateway.process.recovery.peerrecords import FollowedTable
+from ramppin.gateway.process.reporting.explanations import Explanations
+from ramppin.gateway.process.reporting.metrics import GatewayMetrics
 
 METRICS_TARGET = b"/metrics"
 DUMP_TARGET = b"/dump"
--- /dev/null
+++ b/src/ramppin/gateway/process/recovery/__init__.py
@@ -0,0 +1,1 @@
+"""What a gateway knows again after a loss: replicas of the log, peers, files."""
--- a/src/ramppin/process/recovery/filetables.py
+++ b/src/ramppin/gateway/process/recovery/filetables.py
@@ -3,7 +3,7 @@
 The file is read again when it changes. Its parts::
 
     {
-      "routing": {...},           // see ramppin.version.routingfile
+      "routing": {...},           // see ramppin.gateway.version.routingfile
       "backend_servers": {"id": {"service": ..., "address": "IP:PORT"}}
     }
 """
@@ -17,10 +17,14 @@
 
 from returns.result import Failure, Success
 
+from ramppin.document import read_document
 from ramppin.errors import LogUnavailableError
-from ramppin.process.recovery.replica import Record
-from ramppin.process.recovery.sources import RecordBatch, RecordLog, RecordSource
-from ramppin.version.document import read_document
+from ramppin.gateway.process.recovery.replica import Record
+from ramppin.gateway.process.recovery.sources import (
+    RecordBatch,
+    RecordLog,
+    RecordSource,
+)
 
 POLL_S = 0.2
 ROUTING_PART = "routing"
--- a/src/ramppin/process/recovery/follower.py
+++ b/src/ramppin/gateway/process/recovery/follower.py
@@ -7,8 +7,8 @@
 import random
 
 from ramppin.errors import LogTrimmedError, LogUnavailableError
-from ramppin.process.recovery.replica import Replica
-from ramppin.process.recovery.sources import RecordBatch, RecordSource
+from ramppin.gateway.process.recovery.replica import Replica
+from ramppin.gateway.process.recovery.sources import RecordBatch, RecordSource
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/recovery/peerrecords.py
+++ b/src/ramppin/gateway/process/recovery/peerrecords.py
@@ -16,12 +16,12 @@
 
 import msgspec
 
-from ramppin.connection.callerwire import CallerConnection, Responder
-from ramppin.connection.fetch import Fetcher
-from ramppin.connection.requestreader import CallerRequest
 from ramppin.errors import LogUnavailableError
-from ramppin.process.recovery.follower import Follower
-from ramppin.process.recovery.replica import Record, Replica
+from ramppin.gateway.connection.callerwire import CallerConnection, Responder
+from ramppin.gateway.connection.fetch import Fetcher
+from ramppin.gateway.connection.requestreader import CallerRequest
+from ramppin.gateway.process.recovery.follower import Follower
+from ramppin.gateway.process.recovery.replica import Record, Replica
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/recovery/relays.py
+++ b/src/ramppin/gateway/process/recovery/relays.py
@@ -14,19 +14,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ramppin.connection.fetch import Fetcher
 from ramppin.errors import LogUnavailableError
-from ramppin.process.membership.fleet import FleetMembers, Member
-from ramppin.process.recovery.peerrecords import (
+from ramppin.gateway.connection.fetch import Fetcher
+from ramppin.gateway.process.membership.members import FleetMembers, Member
+from ramppin.gateway.process.recovery.peerrecords import (
     RECORDS_TARGET,
     PeerQuestion,
     TableState,
     decode_answer,
     encode_question,
 )
-from ramppin.process.recovery.replica import Record
-from ramppin.process.recovery.sources import RecordBatch, RecordSource
-from ramppin.request.ranking import hash_name, mix
+from ramppin.gateway.process.recovery.replica import Record
+from ramppin.gateway.process.recovery.sources import RecordBatch, RecordSource
+from ramppin.ranking import hash_name, mix
 
 MIN_VMS = 5
 """VMs of a failure domain from which on relays are used."""
--- a/src/ramppin/process/recovery/sources.py
+++ b/src/ramppin/gateway/process/recovery/sources.py
@@ -8,9 +8,9 @@
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
 
-from ramppin.process.recovery.replica import Record
-from ramppin.process.routing.directory import BackendServer
-from ramppin.version.routing import RoutingTable
+from ramppin.gateway.process.recovery.replica import Record
+from ramppin.gateway.process.routing.directory import BackendServer
+from ramppin.gateway.version.routing import RoutingTable
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/ramppin/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -13,20 +13,28 @@
 from typing import Any
 
 from ramppin.errors import SettingsError
-from ramppin.process.context import GatewayContext
-from ramppin.process.gatewayconfig import GatewayConfig
-from ramppin.process.membership.fleet import (
+from ramppin.gateway.process.config import GatewayConfig
+from ramppin.gateway.process.context import GatewayContext
+from ramppin.gateway.process.membership.members import (
     FleetMembers,
     Member,
     announce,
 )
-from ramppin.process.recovery.follower import Follower
-from ramppin.process.recovery.peerrecords import FollowedTable, PeerReader
-from ramppin.process.recovery.relays import RelayChoice, RelayedSource, RelayTimes
-from ramppin.process.recovery.replica import Record, Replica
-from ramppin.process.recovery.sources import RecordDecoder, RecordLog, RecordSource
-from ramppin.process.routing.homesnapshot import HomeSnapshots
-from ramppin.process.routing.prefixhomes import PrefixHomes
+from ramppin.gateway.process.recovery.follower import Follower
+from ramppin.gateway.process.recovery.peerrecords import FollowedTable, PeerReader
+from ramppin.gateway.process.recovery.relays import (
+    RelayChoice,
+    RelayedSource,
+    RelayTimes,
+)
+from ramppin.gateway.process.recovery.replica import Record, Replica
+from ramppin.gateway.process.recovery.sources import (
+    RecordDecoder,
+    RecordLog,
+    RecordSource,
+)
+from ramppin.gateway.process.routing.homes import PrefixHomes
+from ramppin.gateway.process.routing.homesnapshot import HomeSnapshots
 
 SETTINGS_PACE_S = 0.05
 SERVER_WAIT_S = 1.0
--- /dev/null
+++ b/src/ramppin/gateway/process/reporting/__init__.py
@@ -0,0 +1,1 @@
+"""What a gateway tells of itself: decisions, metrics, explanations."""
--- a/src/ramppin/process/routing/directory.py
+++ b/src/ramppin/gateway/process/routing/directory.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from ramppin.process.membership.health import ServerHealth
+from ramppin.gateway.process.membership.health import ServerHealth
 
 REPORT_TRUST_S = 4.0
 """Age past which a load report says nothing any more."""
--- a/src/ramppin/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from ramppin.connection.datagrams import DatagramLink, HomeHint, PeerHints
-from ramppin.process.membership.fleet import FleetMembers
-from ramppin.process.routing.prefixhomes import HomeNotice, PrefixHomes
+from ramppin.gateway.connection.datagrams import DatagramLink, HomeHint, PeerHints
+from ramppin.gateway.process.membership.members import FleetMembers
+from ramppin.gateway.process.routing.homes import HomeNotice, PrefixHomes
 
 SHORTEST_PERIOD_S = 0.08
 DATAGRAMS_PER_S = 100
--- a/src/ramppin/process/routing/prefixhomes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ramppin.request.ranking import hash_name, mix
+from ramppin.ranking import hash_name, mix
 
 SAME_TIME_S = 0.5
 """Homes made within this time of each other count as made at the same time."""
--- a/src/ramppin/process/routing/homesnapshot.py
+++ b/src/ramppin/gateway/process/routing/homesnapshot.py
@@ -14,12 +14,12 @@
 
 import msgspec
 
-from ramppin.connection.datagrams import HomeHint
 from ramppin.errors import LogUnavailableError
-from ramppin.process.membership.fleet import FleetMembers
-from ramppin.process.recovery.sources import RecordLog
-from ramppin.process.routing.prefixhomes import HomeNotice, PrefixHomes
-from ramppin.request.ranking import rank_vms
+from ramppin.gateway.connection.datagrams import HomeHint
+from ramppin.gateway.process.membership.members import FleetMembers
+from ramppin.gateway.process.recovery.sources import RecordLog
+from ramppin.gateway.process.routing.homes import HomeNotice, PrefixHomes
+from ramppin.ranking import rank_vms
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/routing/selection.py
+++ b/src/ramppin/gateway/process/routing/selection.py
@@ -12,9 +12,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
-from ramppin.process.routing.directory import ServerState
-from ramppin.process.routing.prefixhomes import PrefixHomes
-from ramppin.request.ranking import RendezvousRanking
+from ramppin.gateway.process.routing.directory import ServerState
+from ramppin.gateway.process.routing.homes import PrefixHomes
+from ramppin.ranking import RendezvousRanking
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/ramppin/process/gatewayfile.py
+++ b/src/ramppin/gateway/process/settingsfile.py
@@ -11,9 +11,9 @@
 from pydantic import BaseModel, ConfigDict, Field
 from returns.result import Result
 
+from ramppin.document import read_document, validate_document
 from ramppin.errors import SettingsError
-from ramppin.process.gatewayconfig import Address, GatewayConfig
-from ramppin.version.document import read_document, validate_document
+from ramppin.gateway.process.config import Address, GatewayConfig
 
 Port = Annotated[int, Field(ge=0, le=65_535)]
 
--- a/src/ramppin/request/admission.py
+++ b/src/ramppin/gateway/request/admission.py
@@ -9,10 +9,15 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from ramppin.connection.requestreader import CallerRequest
-from ramppin.process.context import GatewayContext
-from ramppin.request.promptkey import hash_prefix
-from ramppin.version.routing import Customer, Route, RoutingTable, choose_service
+from ramppin.gateway.connection.requestreader import CallerRequest
+from ramppin.gateway.process.context import GatewayContext
+from ramppin.gateway.request.promptkey import hash_prefix
+from ramppin.gateway.version.routing import (
+    Customer,
+    Route,
+    RoutingTable,
+    choose_service,
+)
 
 
 class Denial(Enum):
--- a/src/ramppin/request/attempt.py
+++ b/src/ramppin/gateway/request/attempt.py
@@ -7,20 +7,24 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from ramppin.connection.callerwire import CallerConnection
-from ramppin.connection.httpwire import (
+from ramppin.errors import BrokenAnswerError, NotSentError, ProtocolError
+from ramppin.gateway.connection.callerwire import CallerConnection
+from ramppin.gateway.connection.httpwire import (
     HeaderNames,
     Headers,
     find_header,
     keep_end_to_end,
 )
-from ramppin.connection.requestreader import CallerRequest
-from ramppin.connection.upstream import AnswerHead, AnswerReceiver, UpstreamConnection
-from ramppin.errors import BrokenAnswerError, NotSentError, ProtocolError
-from ramppin.process.membership.health import SILENCE_S, Outcome
-from ramppin.process.routing.directory import ServerState
-from ramppin.request.events import EventSplitter
-from ramppin.version.routing import Route
+from ramppin.gateway.connection.requestreader import CallerRequest
+from ramppin.gateway.connection.upstream import (
+    AnswerHead,
+    AnswerReceiver,
+    UpstreamConnection,
+)
+from ramppin.gateway.process.membership.health import SILENCE_S, Outcome
+from ramppin.gateway.process.routing.directory import ServerState
+from ramppin.gateway.request.events import EventSplitter
+from ramppin.gateway.version.routing import Route
 
 MAX_HELD_BYTES = 262_144
 """Part of a whole answer that is held before it is passed on in pieces."""
--- a/src/ramppin/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -10,17 +10,17 @@
 
 import asyncio
 
-from ramppin.connection.callerwire import CallerConnection, Responder
-from ramppin.connection.httpwire import Headers, find_header, keep_end_to_end
-from ramppin.connection.requestreader import CallerRequest
-from ramppin.connection.upstream import UpstreamConnection
 from ramppin.errors import NotSentError
-from ramppin.process.context import GatewayContext
-from ramppin.process.membership.health import Outcome
-from ramppin.process.routing.selection import Selection, SelectionRequest
-from ramppin.request.admission import Admission, Denial, admit
-from ramppin.request.attempt import Attempt, AttemptEnd, AttemptResult
-from ramppin.request.upstreamhead import RequestHeadBuilder
+from ramppin.gateway.connection.callerwire import CallerConnection, Responder
+from ramppin.gateway.connection.httpwire import Headers, find_header, keep_end_to_end
+from ramppin.gateway.connection.requestreader import CallerRequest
+from ramppin.gateway.connection.upstream import UpstreamConnection
+from ramppin.gateway.process.context import GatewayContext
+from ramppin.gateway.process.membership.health import Outcome
+from ramppin.gateway.process.routing.selection import Selection, SelectionRequest
+from ramppin.gateway.request.admission import Admission, Denial, admit
+from ramppin.gateway.request.attempt import Attempt, AttemptEnd, AttemptResult
+from ramppin.gateway.request.upstreamhead import RequestHeadBuilder
 
 MAX_TRIES = 4
 """Servers that one request may try, connections that failed included."""
--- a/src/ramppin/request/upstreamhead.py
+++ b/src/ramppin/gateway/request/upstreamhead.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from ramppin.connection.httpwire import (
+from ramppin.gateway.connection.httpwire import (
     HeaderNames,
     Headers,
     encode_request,
     find_header,
     keep_end_to_end,
 )
-from ramppin.connection.requestreader import CallerRequest
-from ramppin.process.routing.directory import BackendServer
-from ramppin.version.routing import Customer, Route
+from ramppin.gateway.connection.requestreader import CallerRequest
+from ramppin.gateway.process.routing.directory import BackendServer
+from ramppin.gateway.version.routing import Customer, Route
 
 MAX_PRIORITY = 9
 PRIORITIES_PER_CUSTOMER_RANK = 3
--- a/src/ramppin/version/routing.py
+++ b/src/ramppin/gateway/version/routing.py
@@ -2,7 +2,7 @@
 
 A :class:`RoutingTable` is immutable; a request reads the one that is in force
 when it arrives. Whoever publishes settings (ramppin's own file or an adapter)
-builds one; see :mod:`ramppin.process.recovery.sources`.
+builds one; see :mod:`ramppin.gateway.process.recovery.sources`.
 """
 
 from __future__ import annotations
--- a/src/ramppin/connection/links.py
+++ b/src/ramppin/router/connection/links.py
@@ -16,7 +16,8 @@
 from websockets.asyncio.server import ServerConnection
 from websockets.exceptions import ConnectionClosed, InvalidHandshake
 
-from ramppin.connection.messages import (
+from ramppin.errors import PeerNotListedError, PeerUnavailableError, ProtocolError
+from ramppin.router.connection.messages import (
     MAX_MESSAGE_BYTES,
     PROTOCOL_VERSION,
     AskClaim,
@@ -32,7 +33,6 @@
     decode_message,
     encode_message,
 )
-from ramppin.errors import PeerNotListedError, PeerUnavailableError, ProtocolError
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/connection/peerserver.py
+++ b/src/ramppin/router/connection/peerserver.py
@@ -11,7 +11,7 @@
 from websockets.asyncio.server import Server, ServerConnection, serve
 from websockets.http11 import Request, Response
 
-from ramppin.connection.links import (
+from ramppin.router.connection.links import (
     CLOSE_TIMEOUT_S,
     OPEN_TIMEOUT_S,
     PING_INTERVAL_S,
@@ -23,7 +23,11 @@
     Send,
     receive_messages,
 )
-from ramppin.connection.messages import MAX_MESSAGE_BYTES, PROTOCOL_VERSION, Message
+from ramppin.router.connection.messages import (
+    MAX_MESSAGE_BYTES,
+    PROTOCOL_VERSION,
+    Message,
+)
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/callers.py
+++ b/src/ramppin/router/process/callers.py
@@ -14,24 +14,24 @@
 from starlette.routing import Route
 
 from ramppin.errors import RefusedError
-from ramppin.process.parts import RouterParts
-from ramppin.request.call import CallRun
-from ramppin.request.chat import ChatRun, ResumedRun, identify_chat, parse_chat
-from ramppin.request.headers import build_call, read_deadline
-from ramppin.request.identity import RequestId
-from ramppin.request.keyed import KeyedRun
-from ramppin.request.outcome import Outcome
-from ramppin.request.problem import (
+from ramppin.router.process.parts import RouterParts
+from ramppin.router.request.call import CallRun
+from ramppin.router.request.chat import ChatRun, ResumedRun, identify_chat, parse_chat
+from ramppin.router.request.headers import build_call, read_deadline
+from ramppin.router.request.identity import RequestId
+from ramppin.router.request.keyed import KeyedRun
+from ramppin.router.request.outcome import Outcome
+from ramppin.router.request.problem import (
     REQUEST_HEADER,
     VERSION_HEADER,
     build_chat_error,
     build_headers,
     build_problem,
 )
-from ramppin.request.run import Run
-from ramppin.request.stream import parse_stream_id
-from ramppin.version.schema import ServiceKind
-from ramppin.version.tree import Settings
+from ramppin.router.request.run import Run
+from ramppin.router.request.stream import parse_stream_id
+from ramppin.router.version.schema import ServiceKind
+from ramppin.router.version.tree import Settings
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/claims/claiming.py
+++ b/src/ramppin/router/process/claims/claiming.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ramppin.connection.log import LogClient
 from ramppin.errors import AppendUnknownError, LogUnavailableError
-from ramppin.process.claims.claims import (
+from ramppin.router.connection.log import LogClient
+from ramppin.router.process.claims.claims import (
     Claim,
     ClaimItem,
     ClaimRecord,
--- a/src/ramppin/process/config.py
+++ b/src/ramppin/router/process/config.py
@@ -14,9 +14,9 @@
 from pydantic import BaseModel, ConfigDict, Field
 from returns.result import Result
 
+from ramppin.document import Document, read_document, validate_document
 from ramppin.errors import SettingsError
-from ramppin.version.document import Document, read_document, validate_document
-from ramppin.version.schema import Name
+from ramppin.router.version.schema import Name
 
 ENV_PREFIX = "RAMPPIN_"
 Port = Annotated[int, Field(ge=0, le=65_535)]
--- a/src/ramppin/process/membership/handover.py
+++ b/src/ramppin/router/process/membership/handover.py
@@ -7,14 +7,14 @@
 import logging
 import random
 
-from ramppin.connection.links import PeerLinks
-from ramppin.connection.messages import AskRecords, Records
 from ramppin.errors import PeerUnavailableError
-from ramppin.process.membership import ownership
-from ramppin.process.membership.membership import Membership
-from ramppin.process.membership.ownership import Ownership
-from ramppin.process.recovery import publishing
-from ramppin.process.recovery.publishing import SettingsFollower
+from ramppin.router.connection.links import PeerLinks
+from ramppin.router.connection.messages import AskRecords, Records
+from ramppin.router.process.membership import ownership
+from ramppin.router.process.membership.membership import Membership
+from ramppin.router.process.membership.ownership import Ownership
+from ramppin.router.process.recovery import publishing
+from ramppin.router.process.recovery.publishing import SettingsFollower
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/membership/leases.py
+++ b/src/ramppin/router/process/membership/leases.py
@@ -17,7 +17,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, TypeAdapter, ValidationError
 
-from ramppin.request.ranking import rank_vms
+from ramppin.ranking import rank_vms
 
 NO_EPOCH = -1
 """The epoch of a shard that was never owned."""
--- a/src/ramppin/process/membership/membership.py
+++ b/src/ramppin/router/process/membership/membership.py
@@ -6,11 +6,11 @@
 import logging
 from collections.abc import Callable
 
-from ramppin.connection.vmlist import VmList, VmListClient
 from ramppin.errors import RamppinError
-from ramppin.process.routing.load import Member
-from ramppin.process.routing.shards import Shard
-from ramppin.version.tree import Settings
+from ramppin.router.connection.vmlist import VmList, VmListClient
+from ramppin.router.process.routing.load import Member
+from ramppin.router.process.routing.shards import Shard
+from ramppin.router.version.tree import Settings
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/membership/ownership.py
+++ b/src/ramppin/router/process/membership/ownership.py
@@ -8,14 +8,18 @@
 
 from pydantic import BaseModel
 
-from ramppin.connection.links import PeerLinks
-from ramppin.connection.log import LogClient
-from ramppin.connection.messages import AskEpochs, Epochs
 from ramppin.errors import LogUnavailableError, PeerUnavailableError
-from ramppin.process.membership.leases import LeaseHolder, LeaseRenewal, LeaseTable
-from ramppin.process.membership.membership import Membership
-from ramppin.process.recovery.tails import Tail, TailEvents
-from ramppin.process.routing.shards import Shard, ShardHost
+from ramppin.router.connection.links import PeerLinks
+from ramppin.router.connection.log import LogClient
+from ramppin.router.connection.messages import AskEpochs, Epochs
+from ramppin.router.process.membership.leases import (
+    LeaseHolder,
+    LeaseRenewal,
+    LeaseTable,
+)
+from ramppin.router.process.membership.membership import Membership
+from ramppin.router.process.recovery.tails import Tail, TailEvents
+from ramppin.router.process.routing.shards import Shard, ShardHost
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/membership/peers.py
+++ b/src/ramppin/router/process/membership/peers.py
@@ -8,8 +8,8 @@
 import logging
 from collections.abc import Callable, Coroutine
 
-from ramppin.connection.links import Send
-from ramppin.connection.messages import (
+from ramppin.router.connection.links import Send
+from ramppin.router.connection.messages import (
     Ask,
     AskClaim,
     AskEpochs,
@@ -26,15 +26,15 @@
     Sync,
     TraceReply,
 )
-from ramppin.connection.peerserver import PeerHandler
-from ramppin.process.claims.claims import HeldClaims
-from ramppin.process.membership import ownership
-from ramppin.process.membership.leases import LeaseTable
-from ramppin.process.recovery import publishing
-from ramppin.process.routing.shards import ShardHost
-from ramppin.request.claimholder import wait_for_claim
-from ramppin.request.placement import Decision, Grant, PlaceId, PlaceRequest
-from ramppin.request.trace import TraceStore
+from ramppin.router.connection.peerserver import PeerHandler
+from ramppin.router.process.claims.claims import HeldClaims
+from ramppin.router.process.membership import ownership
+from ramppin.router.process.membership.leases import LeaseTable
+from ramppin.router.process.recovery import publishing
+from ramppin.router.process.routing.shards import ShardHost
+from ramppin.router.request.claimholder import wait_for_claim
+from ramppin.router.request.placement import Decision, Grant, PlaceId, PlaceRequest
+from ramppin.router.request.trace import TraceStore
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/operators.py
+++ b/src/ramppin/router/process/operators.py
@@ -19,9 +19,9 @@
 from starlette.types import ASGIApp, Receive, Scope, Send
 
 from ramppin.errors import ConflictError, LogUnavailableError, RamppinError
-from ramppin.process.parts import RouterParts
-from ramppin.process.reporting.dump import build_dump, build_status
-from ramppin.version.acceptance import Verdict
+from ramppin.router.process.parts import RouterParts
+from ramppin.router.process.reporting.dump import build_dump, build_status
+from ramppin.router.version.acceptance import Verdict
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/parts.py
+++ b/src/ramppin/router/process/parts.py
@@ -9,33 +9,33 @@
 from collections.abc import Callable
 from typing import Any
 
-from ramppin.connection.backends import BackendClient, build_sessions
-from ramppin.connection.links import Meter, PeerLinks
-from ramppin.connection.log import LogClient
-from ramppin.connection.messages import Ask
-from ramppin.connection.vmlist import VmListClient
-from ramppin.process.claims import claiming
-from ramppin.process.claims.claiming import Claimer
-from ramppin.process.claims.claims import ClaimTable, HeldClaims
-from ramppin.process.config import RouterConfig
-from ramppin.process.membership.handover import RecordFetcher
-from ramppin.process.membership.leases import LeaseHolder, LeaseTable
-from ramppin.process.membership.membership import Membership
-from ramppin.process.membership.ownership import Ownership
-from ramppin.process.membership.peers import PeerMessages
-from ramppin.process.recovery.publishing import SettingsFollower
-from ramppin.process.recovery.tails import Tail, TailEvents
-from ramppin.process.reporting.explanation import find_explanation
-from ramppin.process.reporting.metrics import Metrics
-from ramppin.process.routing.placer import Placer
-from ramppin.process.routing.reports import ReportReader
-from ramppin.process.routing.shards import ShardHost
-from ramppin.request.context import RequestContext
-from ramppin.request.identity import RequestId
-from ramppin.request.placement import Decision, PlaceId, PlaceRequest
-from ramppin.request.trace import TraceStore
-from ramppin.version.acceptance import NO_VERSION, SettingsHistory, Verdict
-from ramppin.version.tree import DEFAULTS, Settings
+from ramppin.router.connection.backends import BackendClient, build_sessions
+from ramppin.router.connection.links import Meter, PeerLinks
+from ramppin.router.connection.log import LogClient
+from ramppin.router.connection.messages import Ask
+from ramppin.router.connection.vmlist import VmListClient
+from ramppin.router.process.claims import claiming
+from ramppin.router.process.claims.claiming import Claimer
+from ramppin.router.process.claims.claims import ClaimTable, HeldClaims
+from ramppin.router.process.config import RouterConfig
+from ramppin.router.process.membership.handover import RecordFetcher
+from ramppin.router.process.membership.leases import LeaseHolder, LeaseTable
+from ramppin.router.process.membership.membership import Membership
+from ramppin.router.process.membership.ownership import Ownership
+from ramppin.router.process.membership.peers import PeerMessages
+from ramppin.router.process.recovery.publishing import SettingsFollower
+from ramppin.router.process.recovery.tails import Tail, TailEvents
+from ramppin.router.process.reporting.explanation import find_explanation
+from ramppin.router.process.reporting.metrics import Metrics
+from ramppin.router.process.routing.placer import Placer
+from ramppin.router.process.routing.reports import ReportReader
+from ramppin.router.process.routing.shards import ShardHost
+from ramppin.router.request.context import RequestContext
+from ramppin.router.request.identity import RequestId
+from ramppin.router.request.placement import Decision, PlaceId, PlaceRequest
+from ramppin.router.request.trace import TraceStore
+from ramppin.router.version.acceptance import NO_VERSION, SettingsHistory, Verdict
+from ramppin.router.version.tree import DEFAULTS, Settings
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/recovery/publishing.py
+++ b/src/ramppin/router/process/recovery/publishing.py
@@ -10,18 +10,18 @@
 
 from pydantic import BaseModel
 
-from ramppin.connection.log import LogClient
 from ramppin.errors import AppendUnknownError, LogUnavailableError
-from ramppin.process.recovery.tails import Tail, TailEvents
-from ramppin.request.ranking import rank_vms
-from ramppin.version.acceptance import (
+from ramppin.ranking import rank_vms
+from ramppin.router.connection.log import LogClient
+from ramppin.router.process.recovery.tails import Tail, TailEvents
+from ramppin.router.version.acceptance import (
     ChangeRecord,
     PatchRecord,
     SettingsHistory,
     SnapshotRecord,
     Verdict,
 )
-from ramppin.version.tree import Settings
+from ramppin.router.version.tree import Settings
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/recovery/tails.py
+++ b/src/ramppin/router/process/recovery/tails.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ramppin.connection.log import Batch, LogClient
 from ramppin.errors import LogTrimmedError, LogUnavailableError
+from ramppin.router.connection.log import Batch, LogClient
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/reporting/dump.py
+++ b/src/ramppin/router/process/reporting/dump.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from ramppin.process.parts import RouterParts
-from ramppin.process.routing.shards import OwnedShard
+from ramppin.router.process.parts import RouterParts
+from ramppin.router.process.routing.shards import OwnedShard
 
 
 def build_dump(router: RouterParts) -> dict[str, Any]:
--- a/src/ramppin/process/reporting/explanation.py
+++ b/src/ramppin/router/process/reporting/explanation.py
@@ -6,10 +6,10 @@
 import json
 from typing import Any
 
-from ramppin.connection.messages import AskTrace, TraceReply
 from ramppin.errors import RamppinError
-from ramppin.request.context import RequestContext
-from ramppin.request.identity import parse_request_id
+from ramppin.router.connection.messages import AskTrace, TraceReply
+from ramppin.router.request.context import RequestContext
+from ramppin.router.request.identity import parse_request_id
 
 TIMEOUT_S = 2.0
 
--- a/src/ramppin/process/reporting/metrics.py
+++ b/src/ramppin/router/process/reporting/metrics.py
@@ -8,7 +8,7 @@
 from prometheus_client.core import CounterMetricFamily
 from prometheus_client.registry import Collector
 
-from ramppin.connection.links import Meter
+from ramppin.router.connection.links import Meter
 
 LATENCY_BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5)
 
--- a/src/ramppin/process/router.py
+++ b/src/ramppin/router/process/router.py
@@ -11,13 +11,13 @@
 import anyio
 import anyio.lowlevel
 
-from ramppin.connection.listener import Listener
-from ramppin.connection.peerserver import PeerServer
-from ramppin.process.callers import CallerApp
-from ramppin.process.config import RouterConfig
-from ramppin.process.operators import OperatorApp
-from ramppin.process.parts import RouterParts
-from ramppin.process.reporting.dump import build_dump
+from ramppin.router.connection.listener import Listener
+from ramppin.router.connection.peerserver import PeerServer
+from ramppin.router.process.callers import CallerApp
+from ramppin.router.process.config import RouterConfig
+from ramppin.router.process.operators import OperatorApp
+from ramppin.router.process.parts import RouterParts
+from ramppin.router.process.reporting.dump import build_dump
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/routing/allocator.py
+++ b/src/ramppin/router/process/routing/allocator.py
@@ -2,7 +2,7 @@
 
 A plain synchronous state machine. Messages and clock readings go in, typed
 decisions come out; it does no I/O and reads no clock. One allocator at a time
-counts for a pool (see :mod:`ramppin.process.membership.leases`).
+counts for a pool (see :mod:`ramppin.router.process.membership.leases`).
 
 Example::
 
@@ -19,11 +19,17 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from ramppin.process.routing.choice import Chooser
-from ramppin.process.routing.homes import Homes
-from ramppin.process.routing.load import START_TRANSIT_S, Member, PoolLoad, ServerLoad
-from ramppin.process.routing.queue import FairQueue, Waiter
-from ramppin.request.placement import (
+from ramppin.ranking import Ranking, RendezvousRanking
+from ramppin.router.process.routing.choice import Chooser
+from ramppin.router.process.routing.homes import Homes
+from ramppin.router.process.routing.load import (
+    START_TRANSIT_S,
+    Member,
+    PoolLoad,
+    ServerLoad,
+)
+from ramppin.router.process.routing.queue import FairQueue, Waiter
+from ramppin.router.request.placement import (
     Decision,
     Grant,
     PlaceId,
@@ -31,8 +37,7 @@
     Reason,
     Refusal,
 )
-from ramppin.request.ranking import Ranking, RendezvousRanking
-from ramppin.version.tree import PoolPolicy
+from ramppin.router.version.tree import PoolPolicy
 
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 60.0
--- a/src/ramppin/process/routing/choice.py
+++ b/src/ramppin/router/process/routing/choice.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-from ramppin.process.routing.homes import Homes
-from ramppin.process.routing.load import PoolLoad, ServerLoad
-from ramppin.request.placement import PlaceRequest, Reason
-from ramppin.request.ranking import Ranking
+from ramppin.ranking import Ranking
+from ramppin.router.process.routing.homes import Homes
+from ramppin.router.process.routing.load import PoolLoad, ServerLoad
+from ramppin.router.request.placement import PlaceRequest, Reason
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/ramppin/process/routing/load.py
+++ b/src/ramppin/router/process/routing/load.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ramppin.request.placement import PlaceId
-from ramppin.version.tree import PoolPolicy
+from ramppin.router.request.placement import PlaceId
+from ramppin.router.version.tree import PoolPolicy
 
 START_TRANSIT_S = 0.1
 """How long a granted place may count before its request is on a server."""
--- a/src/ramppin/process/routing/placer.py
+++ b/src/ramppin/router/process/routing/placer.py
@@ -8,8 +8,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ramppin.connection.links import PeerLink, PeerLinks
-from ramppin.connection.messages import (
+from ramppin.errors import PeerUnavailableError
+from ramppin.router.connection.links import PeerLink, PeerLinks
+from ramppin.router.connection.messages import (
     Ask,
     Free,
     Granted,
@@ -19,10 +20,9 @@
     Refused,
     Sync,
 )
-from ramppin.errors import PeerUnavailableError
-from ramppin.process.membership.leases import LeaseTable
-from ramppin.process.routing.shards import ShardHost
-from ramppin.request.placement import (
+from ramppin.router.process.membership.leases import LeaseTable
+from ramppin.router.process.routing.shards import ShardHost
+from ramppin.router.request.placement import (
     Decision,
     Grant,
     PlaceId,
--- a/src/ramppin/process/routing/queue.py
+++ b/src/ramppin/router/process/routing/queue.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from ramppin.request.placement import PlaceId, PlaceRequest
+from ramppin.router.request.placement import PlaceId, PlaceRequest
 
 
 @dataclass(slots=True)
--- a/src/ramppin/process/routing/reports.py
+++ b/src/ramppin/router/process/routing/reports.py
@@ -6,11 +6,11 @@
 import logging
 from collections.abc import Callable
 
-from ramppin.connection.backends import BackendClient
 from ramppin.errors import RamppinError
-from ramppin.process.routing.shards import OwnedShard, ShardHost
-from ramppin.version.schema import BackendServerNode
-from ramppin.version.tree import Settings
+from ramppin.router.connection.backends import BackendClient
+from ramppin.router.process.routing.shards import OwnedShard, ShardHost
+from ramppin.router.version.schema import BackendServerNode
+from ramppin.router.version.tree import Settings
 
 LOG = logging.getLogger(__name__)
 
--- a/src/ramppin/process/routing/shards.py
+++ b/src/ramppin/router/process/routing/shards.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from ramppin.connection.messages import HeldPlaceInfo
-from ramppin.process.membership.leases import LeaseHolder
-from ramppin.process.routing.allocator import Allocator
-from ramppin.process.routing.load import Member
-from ramppin.request.placement import Decision, PlaceId, PlaceRequest
-from ramppin.version.tree import PoolPolicy
+from ramppin.router.connection.messages import HeldPlaceInfo
+from ramppin.router.process.membership.leases import LeaseHolder
+from ramppin.router.process.routing.allocator import Allocator
+from ramppin.router.process.routing.load import Member
+from ramppin.router.request.placement import Decision, PlaceId, PlaceRequest
+from ramppin.router.version.tree import PoolPolicy
 
 SYNC_WAIT_S = 1.0
 """How long a new owner waits for VMs to tell the places that they hold."""
--- a/src/ramppin/request/call.py
+++ b/src/ramppin/router/request/call.py
@@ -8,18 +8,18 @@
 from starlette.requests import ClientDisconnect, Request
 from starlette.responses import Response
 
-from ramppin.connection.backends import (
+from ramppin.errors import (
+    BrokenAnswerError,
+)
+from ramppin.router.connection.backends import (
     BackendAnswer,
     BackendRequest,
     filter_headers,
 )
-from ramppin.errors import (
-    BrokenAnswerError,
-)
-from ramppin.request.answer import StreamedAnswer
-from ramppin.request.outcome import Outcome
-from ramppin.request.problem import SERVER_HEADER, build_headers
-from ramppin.request.run import Run, Sent
+from ramppin.router.request.answer import StreamedAnswer
+from ramppin.router.request.outcome import Outcome
+from ramppin.router.request.problem import SERVER_HEADER, build_headers
+from ramppin.router.request.run import Run, Sent
 
 COOKIE_HEADER = "set-cookie"
 
--- a/src/ramppin/request/chat.py
+++ b/src/ramppin/router/request/chat.py
@@ -7,14 +7,14 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 from starlette.responses import Response
 
-from ramppin.connection.backends import BackendAnswer, BackendRequest
 from ramppin.errors import BrokenAnswerError, NotSentError, RamppinError, RefusedError
-from ramppin.request.answer import StreamedAnswer
-from ramppin.request.identity import hash_chat, hash_opening
-from ramppin.request.outcome import Outcome
-from ramppin.request.problem import SERVER_HEADER, build_headers
-from ramppin.request.run import Run, Sent
-from ramppin.request.stream import EventRelay, StreamId, build_error_event
+from ramppin.router.connection.backends import BackendAnswer, BackendRequest
+from ramppin.router.request.answer import StreamedAnswer
+from ramppin.router.request.identity import hash_chat, hash_opening
+from ramppin.router.request.outcome import Outcome
+from ramppin.router.request.problem import SERVER_HEADER, build_headers
+from ramppin.router.request.run import Run, Sent
+from ramppin.router.request.stream import EventRelay, StreamId, build_error_event
 
 MAX_RESUMES = 2
 """How often a broken stream is resumed from its engine."""
--- a/src/ramppin/request/claimholder.py
+++ b/src/ramppin/router/request/claimholder.py
@@ -9,10 +9,10 @@
 import asyncio
 from collections.abc import Callable
 
-from ramppin.connection.links import PeerLinks
-from ramppin.connection.messages import AskClaim, ClaimReply
 from ramppin.errors import PeerNotListedError, PeerUnavailableError
-from ramppin.process.claims.claims import ClaimState, HeldClaim, HeldClaims
+from ramppin.router.connection.links import PeerLinks
+from ramppin.router.connection.messages import AskClaim, ClaimReply
+from ramppin.router.process.claims.claims import ClaimState, HeldClaim, HeldClaims
 
 REPLY_EXTRA_S = 0.5
 """How much longer than the holder's own wait its reply is awaited."""
--- a/src/ramppin/request/context.py
+++ b/src/ramppin/router/request/context.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from ramppin.connection.backends import BackendClient
-from ramppin.connection.links import PeerLinks
-from ramppin.process.claims.claiming import Claimer
-from ramppin.process.claims.claims import ClaimTable, HeldClaims
-from ramppin.process.reporting.metrics import Metrics
-from ramppin.process.routing.placer import Placer
-from ramppin.request.budget import RetryBudget
-from ramppin.request.trace import TraceStore
+from ramppin.router.connection.backends import BackendClient
+from ramppin.router.connection.links import PeerLinks
+from ramppin.router.process.claims.claiming import Claimer
+from ramppin.router.process.claims.claims import ClaimTable, HeldClaims
+from ramppin.router.process.reporting.metrics import Metrics
+from ramppin.router.process.routing.placer import Placer
+from ramppin.router.request.budget import RetryBudget
+from ramppin.router.request.trace import TraceStore
 
 Result = TypeVar("Result")
 
--- a/src/ramppin/request/headers.py
+++ b/src/ramppin/router/request/headers.py
@@ -4,11 +4,11 @@
 
 from starlette.requests import Request
 
-from ramppin.connection.backends import filter_headers
 from ramppin.errors import RefusedError
-from ramppin.process.claims.claims import read_issue_time
-from ramppin.request.call import Call
-from ramppin.request.problem import VERSION_HEADER
+from ramppin.router.connection.backends import filter_headers
+from ramppin.router.process.claims.claims import read_issue_time
+from ramppin.router.request.call import Call
+from ramppin.router.request.problem import VERSION_HEADER
 
 PRIVATE_HEADERS = ("authorization", "host", "content-length", "idempotency-key")
 """Headers of a caller that don't go on to the backend server as they are."""
--- a/src/ramppin/request/keyed.py
+++ b/src/ramppin/router/request/keyed.py
@@ -6,22 +6,22 @@
 
 from starlette.responses import Response
 
-from ramppin.connection.backends import BackendRequest
-from ramppin.connection.messages import ClaimReply
 from ramppin.errors import (
     BrokenAnswerError,
     LogUnavailableError,
     PeerUnavailableError,
     RefusedError,
 )
-from ramppin.process.claims.claims import (
+from ramppin.router.connection.backends import BackendRequest
+from ramppin.router.connection.messages import ClaimReply
+from ramppin.router.process.claims.claims import (
     Claim,
     ClaimItem,
     StoredAnswer,
     hash_claim_key,
     hash_request,
 )
-from ramppin.request.call import (
+from ramppin.router.request.call import (
     COOKIE_HEADER,
     Call,
     add_cookies,
@@ -29,11 +29,11 @@
     judge_status,
     list_cookies,
 )
-from ramppin.request.claimholder import ask_holder, wait_for_claim
-from ramppin.request.identity import parse_request_id
-from ramppin.request.outcome import Outcome
-from ramppin.request.problem import build_headers
-from ramppin.request.run import Run, Sent
+from ramppin.router.request.claimholder import ask_holder, wait_for_claim
+from ramppin.router.request.identity import parse_request_id
+from ramppin.router.request.outcome import Outcome
+from ramppin.router.request.problem import build_headers
+from ramppin.router.request.run import Run, Sent
 
 CLAIM_TIMEOUT_S = 2.0
 LOG_DOWN_RETRY_AFTER_S = 5.0
--- a/src/ramppin/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -7,7 +7,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from ramppin.connection.backends import BackendAnswer, BackendRequest
 from ramppin.errors import (
     BrokenAnswerError,
     NotSentError,
@@ -15,13 +14,14 @@
     RamppinError,
     RefusedError,
 )
-from ramppin.process.routing.placer import Place, Wanted
-from ramppin.request.context import RequestContext
-from ramppin.request.identity import RequestId
-from ramppin.request.outcome import Outcome
-from ramppin.request.placement import Grant, Reason, Refusal
-from ramppin.request.trace import Trace
-from ramppin.version.tree import RequestPolicy, Settings
+from ramppin.router.connection.backends import BackendAnswer, BackendRequest
+from ramppin.router.process.routing.placer import Place, Wanted
+from ramppin.router.request.context import RequestContext
+from ramppin.router.request.identity import RequestId
+from ramppin.router.request.outcome import Outcome
+from ramppin.router.request.placement import Grant, Reason, Refusal
+from ramppin.router.request.trace import Trace
+from ramppin.router.version.tree import RequestPolicy, Settings
 
 RETRY_AFTER_FAILURE_S = 1.0
 OWNER_ANSWER_S = 0.5
--- a/src/ramppin/request/stream.py
+++ b/src/ramppin/router/request/stream.py
@@ -12,8 +12,8 @@
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
 
-from ramppin.connection.backends import BackendAnswer
 from ramppin.errors import BrokenAnswerError
+from ramppin.router.connection.backends import BackendAnswer
 
 _EVENT_ID = re.compile(rb"^id: [^\n]*?:(\d+)$", re.MULTILINE)
 _END = b"\n\n"
--- a/src/ramppin/request/trace.py
+++ b/src/ramppin/router/request/trace.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from ramppin.version.tree import RuleSource
+from ramppin.router.version.tree import RuleSource
 
 MAX_STEPS = 64
 """Steps kept of one request; the rest is counted only."""
--- a/src/ramppin/version/acceptance.py
+++ b/src/ramppin/router/version/acceptance.py
@@ -13,10 +13,10 @@
 from pydantic import BaseModel, ConfigDict, Field, TypeAdapter, ValidationError
 from returns.result import Failure, Result, Success
 
+from ramppin.document import Document, validate_document
 from ramppin.errors import ConflictError, RamppinError, SettingsError
-from ramppin.version.document import Document, validate_document
-from ramppin.version.schema import SettingsTree
-from ramppin.version.tree import Settings
+from ramppin.router.version.schema import SettingsTree
+from ramppin.router.version.tree import Settings
 
 NO_VERSION = -1
 """The version before any change was accepted."""
--- a/src/ramppin/version/tree.py
+++ b/src/ramppin/router/version/tree.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ramppin.version.schema import (
+from ramppin.router.version.schema import (
     FleetRules,
     PoolRules,
     RequestRules,
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from ramppin.version.document import read_document
+from ramppin.document import read_document
 from standins.common import StandIn
 from standins.deployment import OPERATOR_KEY, Deployment
 from standins.engine import EngineOptions, EngineStandIn
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -12,7 +12,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from ramppin.connection.httpwire import HeaderNames
+from ramppin.gateway.connection.httpwire import HeaderNames
 from standins.streams import StreamServer
 
 
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -7,7 +7,7 @@
 import uuid
 from typing import Any
 
-from ramppin.version.tree import hash_key
+from ramppin.router.version.tree import hash_key
 from standins.engine import EngineOptions
 from standins.fleet import OPERATOR_KEY, FleetInProcess, FleetOptions
 
--- a/standins/tables.py
+++ b/standins/tables.py
@@ -6,8 +6,8 @@
 import contextlib
 
 from ramppin.errors import LogTrimmedError, LogUnavailableError
-from ramppin.process.recovery.replica import Record
-from ramppin.process.recovery.sources import RecordBatch, RecordLog
+from ramppin.gateway.process.recovery.replica import Record
+from ramppin.gateway.process.recovery.sources import RecordBatch, RecordLog
 
 
 class TableStandIn(RecordLog):
