--- a/features/gateway/decisions.feature
+++ b/features/gateway/decisions.feature
@@ -99,12 +99,12 @@
       | outcomes                              | state |
       | answered                              | in    |
       | failed                                | in    |
-      | failed failed failed                  | aside |
+      | failed failed failed                  | suspect |
       | failed answered failed answered       | in    |
-      | unreachable                           | aside |
-      | rejected                              | aside |
+      | unreachable                           | suspect |
+      | rejected                              | suspect |
       | unreachable wait                      | in    |
-      | sent silence                          | aside |
+      | sent silence                          | suspect |
       | sent heard silence                    | in    |
 
   Scenario Outline: an entry that vanishes <when>
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -16,7 +16,11 @@
 from ramppin.errors import SettingsError
 from ramppin.gateway.process.context import GatewayContext
 from ramppin.gateway.process.limits.retries import RetryWindow
-from ramppin.gateway.process.membership.health import SILENCE_S, Outcome, ServerHealth
+from ramppin.gateway.process.membership.health import (
+    UNRESPONSIVE_AFTER_S,
+    Outcome,
+    ServerHealth,
+)
 from ramppin.gateway.process.recovery.follower import Follower
 from ramppin.gateway.process.recovery.replica import Record, Replica
 from ramppin.gateway.process.routing.directory import BackendServer, ServerDirectory
@@ -259,12 +263,12 @@
         elif outcome == "sent":
             health.note_sent(now)
         elif outcome == "heard":
-            health.note_heard(now, awaited=False)
+            health.note_received(now, awaited=False)
         elif outcome == "silence":
-            now += SILENCE_S + 0.1
+            now += UNRESPONSIVE_AFTER_S + 0.1
         else:
             health.note_outcome(Outcome(outcome), now)
-    assert health.is_aside(now) == (state == "aside")
+    assert health.is_suspect(now) == (state == "suspect")
 
 
 # outages
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -37,14 +37,14 @@
     name, _, silent = text.partition(":")
     name, _, weight = name.partition("*")
     entry = MemberRecord(name, name[0], float(weight or 1))
-    heard_at = NOW - 60 if silent else NOW
-    return Record(name, msgspec.json.encode(entry), 0), heard_at
+    last_seen_at = NOW - 60 if silent else NOW
+    return Record(name, msgspec.json.encode(entry), 0), last_seen_at
 
 
 def build_members(own: str, vms: str) -> FleetMembers:
     members = FleetMembers(own, own[0])
-    for record, heard_at in map(read_record, vms.split()):
-        members.take_record(record, heard_at)
+    for record, last_seen_at in map(read_record, vms.split()):
+        members.take_record(record, last_seen_at)
     return members
 
 
--- a/features/steps/gateway_wire_steps.py
+++ b/features/steps/gateway_wire_steps.py
@@ -300,7 +300,7 @@
         answers = []
         for _ in range(count):
             for state in directory:
-                state.health.aside_until = float("-inf")
+                state.health.ejected_until = float("-inf")
             answers.append(await context.fixture.ask(route))
         return answers
 
@@ -449,7 +449,7 @@
             return
         else:
             await wait_for(
-                lambda: context.connection.resting_until is None, "bytes were taken"
+                lambda: context.connection.idle_until is None, "bytes were taken"
             )
 
     run(context, send())
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -55,7 +55,7 @@
 
 @given("the platform with two engines that break off and a gateway process")
 def step_engines(context):
-    async def break_off(reply):
+    async def abort(reply):
         after = int(reply.request.headers.get(b"last-event-id", b"0"))
         await reply.start_events()
         if after:
@@ -70,7 +70,7 @@
     async def start():
         fixture = await start_platform(context, [("e-1", "llm"), ("e-2", "llm")])
         for backend in fixture.backends.values():
-            backend.script = break_off
+            backend.script = abort
         return fixture
 
     context.platform = run(context, start())
--- a/src/ramppin/gateway/connection/callerwire.py
+++ b/src/ramppin/gateway/connection/callerwire.py
@@ -39,11 +39,11 @@
         """Take a whole request; it is answered through the connection."""
 
     @abstractmethod
-    def accept_leave(self) -> None:
+    def accept_disconnect(self) -> None:
         """Take the news that the caller has closed or reset."""
 
     @abstractmethod
-    def accept_flow(self, *, paused: bool) -> None:
+    def accept_backpressure(self, *, paused: bool) -> None:
         """Take the news that the caller reads too slowly, or reads again."""
 
 
@@ -103,11 +103,11 @@
         self._reader = RequestReader(self, lambda: state.limits)
         self._waiting: deque[CallerRequest] = deque()
         self._current: CallerRequest | None = None
-        self._heard_at = self._loop.time()
+        self._received_at = self._loop.time()
         self._chunked = False
         self._answer_started = False
         self.opened_at = self._loop.time()
-        self.resting_until: float | None = None
+        self.idle_until: float | None = None
         self.head_due: float | None = None
         self.gone = False
 
@@ -123,16 +123,16 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._state.connections.add(self)
-        self._begin_rest()
+        self._begin_idle()
 
     def data_received(self, data: bytes) -> None:
         """Parse bytes of requests."""
         if self.gone:
             return
-        if self.resting_until is not None:
-            self.resting_until = None
+        if self.idle_until is not None:
+            self.idle_until = None
             self._expect_head()
-        self._heard_at = self._loop.time()
+        self._received_at = self._loop.time()
         try:
             self._reader.feed(data)
         except RefusedRequestError as error:
@@ -148,15 +148,15 @@
         self._state.connections.discard(self)
         self._waiting.clear()
         if self._current is not None:
-            self._responder.accept_leave()
+            self._responder.accept_disconnect()
 
     def pause_writing(self) -> None:
         """Pass on that the caller reads too slowly."""
-        self._responder.accept_flow(paused=True)
+        self._responder.accept_backpressure(paused=True)
 
     def resume_writing(self) -> None:
         """Pass on that the caller reads again."""
-        self._responder.accept_flow(paused=False)
+        self._responder.accept_backpressure(paused=False)
 
     # the reader's side
 
@@ -186,7 +186,7 @@
         if request is None or self.gone or self._transport is None:
             return
         if self._answer_started:
-            self.break_off()
+            self.abort()
             return
         sent = [*headers, (b"Content-Length", b"%d" % len(body))]
         sent += self._build_connection_headers(request)
@@ -226,7 +226,7 @@
             self._transport.write(LAST_CHUNK)
         self._finish(request)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Close without the end of the answer, so that it can't look whole."""
         self.gone = True
         self._current = None
@@ -242,12 +242,12 @@
     def check_timeouts(self, now: float) -> None:
         """Close or refuse a connection that rested or dawdled too long."""
         limits = self._state.limits
-        if self.resting_until is not None and now >= self.resting_until:
+        if self.idle_until is not None and now >= self.idle_until:
             self.close_if_idle()
         elif self.head_due is not None and now >= self.head_due:
             self.head_due = None
             self._refuse(408, "the head did not end in time")
-        elif self._awaits_body and now - self._heard_at >= limits.idle_timeout_s:
+        elif self._awaits_body and now - self._received_at >= limits.idle_timeout_s:
             self._refuse(408, "the body stopped")
 
     @property
@@ -264,9 +264,9 @@
             limits = self._state.limits
             self.head_due = self._loop.time() + limits.header_timeout_s
 
-    def _begin_rest(self) -> None:
+    def _begin_idle(self) -> None:
         limits = self._state.limits
-        self.resting_until = self._loop.time() + limits.idle_timeout_s
+        self.idle_until = self._loop.time() + limits.idle_timeout_s
         self.head_due = None
 
     def _start_next(self) -> None:
@@ -293,7 +293,7 @@
             self._transport.resume_reading()
             self._start_next()
         elif self._reader.incoming is None:
-            self._begin_rest()
+            self._begin_idle()
         elif self._reader.reads_head:
             self._expect_head()
 
@@ -307,7 +307,7 @@
             self.gone = True
             self._transport.close()
         else:
-            self._responder.accept_leave()
-            self.break_off()
+            self._responder.accept_disconnect()
+            self.abort()
         read = self._reader.incoming or CallerRequest(b"", b"", [])
         self._state.note_refused(Refusal(status, reason, read.target, read.headers))
--- a/src/ramppin/gateway/connection/pool.py
+++ b/src/ramppin/gateway/connection/pool.py
@@ -20,11 +20,11 @@
     def __init__(self, *, keep_s: float = 4.0, connect_timeout_s: float = 0.35) -> None:
         self._keep_s = keep_s
         self._connect_timeout_s = connect_timeout_s
-        self._resting: dict[str, list[UpstreamConnection]] = {}
+        self._idle: dict[str, list[UpstreamConnection]] = {}
         self.opened = 0
 
     async def acquire(
-        self, peer: str, host: str, port: int, *, max_rest_s: float
+        self, peer: str, host: str, port: int, *, max_idle_s: float
     ) -> UpstreamConnection:
         """Return a kept connection, or a new one.
 
@@ -32,13 +32,13 @@
             peer: the backend server's id.
             host: its address.
             port: its port.
-            max_rest_s: longest rest after which a kept one is still used.
+            max_idle_s: longest rest after which a kept one is still used.
         """
         now = asyncio.get_running_loop().time()
-        resting = self._resting.get(peer)
-        while resting:
-            connection = resting.pop()
-            if connection.alive and self._is_fresh(connection, now, max_rest_s):
+        idle = self._idle.get(peer)
+        while idle:
+            connection = idle.pop()
+            if connection.alive and self._is_fresh(connection, now, max_idle_s):
                 return connection
             connection.abort()
         self.opened += 1
@@ -47,49 +47,50 @@
         )
 
     def release(
-        self, connection: UpstreamConnection, *, max_resting: int | None = None
+        self, connection: UpstreamConnection, *, max_idle_connections: int | None = None
     ) -> None:
         """Keep a connection whose answer was whole.
 
         Args:
             connection: the connection.
-            max_resting: connections to the same server that may rest; None for any.
+            max_idle_connections: connections to the same server that may be idle;
+                None for any number.
         """
         if not connection.alive or connection.busy:
             return
-        resting = self._resting.setdefault(connection.peer, [])
-        if max_resting is not None and len(resting) >= max_resting:
+        idle = self._idle.setdefault(connection.peer, [])
+        if max_idle_connections is not None and len(idle) >= max_idle_connections:
             connection.abort()
         else:
-            resting.append(connection)
+            idle.append(connection)
 
     def release_unused(self, connection: UpstreamConnection) -> None:
         """Keep a connection over which nothing was sent."""
-        connection.rested_since = asyncio.get_running_loop().time()
+        connection.idle_since = asyncio.get_running_loop().time()
         self.release(connection)
 
     def drop_peer(self, peer: str) -> None:
         """Close what rests of a backend server that is gone."""
-        for connection in self._resting.pop(peer, []):
+        for connection in self._idle.pop(peer, []):
             connection.abort()
 
     def sweep(self, now: float) -> None:
         """Close connections that rested too long."""
-        for resting in self._resting.values():
+        for idle in self._idle.values():
             stale = [
                 connection
-                for connection in resting
+                for connection in idle
                 if not connection.alive
                 or not self._is_fresh(connection, now, self._keep_s)
             ]
             for connection in stale:
-                resting.remove(connection)
+                idle.remove(connection)
                 connection.abort()
 
     def _is_fresh(
-        self, connection: UpstreamConnection, now: float, max_rest_s: float
+        self, connection: UpstreamConnection, now: float, max_idle_s: float
     ) -> bool:
-        limit = min(max_rest_s, self._keep_s)
-        if connection.rest_limit_s is not None:
-            limit = min(limit, connection.rest_limit_s * 0.5)
-        return now - connection.rested_since < limit
+        limit = min(max_idle_s, self._keep_s)
+        if connection.keep_alive_s is not None:
+            limit = min(limit, connection.keep_alive_s * 0.5)
+        return now - connection.idle_since < limit
--- a/src/ramppin/gateway/connection/upstream.py
+++ b/src/ramppin/gateway/connection/upstream.py
@@ -69,8 +69,8 @@
 
     def __init__(self, peer: str) -> None:
         self.peer = peer
-        self.rested_since = 0.0
-        self.rest_limit_s: float | None = None
+        self.idle_since = 0.0
+        self.keep_alive_s: float | None = None
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._receiver: AnswerReceiver | None = None
@@ -234,8 +234,8 @@
         receiver, self._receiver = self._receiver, None
         if self._transport is None or receiver is None:
             return
-        self.rested_since = self._loop.time()
-        self.rest_limit_s = _read_keep_alive(self._headers)
+        self.idle_since = self._loop.time()
+        self.keep_alive_s = _read_keep_alive(self._headers)
         if self._transport.get_write_buffer_size() > 0:
             # Answered before the body was sent: the rest has nowhere to go.
             self._reusable = False
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -163,7 +163,7 @@
         for server in self._servers.values():
             server.close()
         for connection in list(self.context.listener.connections):
-            connection.break_off()
+            connection.abort()
         self.context.decisions.note("stopped")
         self.context.decisions.flush()
         self.stopped.set()
--- a/src/ramppin/gateway/process/limits/drain.py
+++ b/src/ramppin/gateway/process/limits/drain.py
@@ -63,12 +63,12 @@
         loop = asyncio.get_running_loop()
         while (passed := loop.time() - self._started) < self._times.limit_s:
             if passed >= self._times.settle_s:
-                self._close_resting(state, loop.time())
+                self._close_idle(state, loop.time())
                 if not state.connections:
                     return
             await asyncio.sleep(POLL_S)
 
-    def _close_resting(self, state: ListenerState, now: float) -> None:
+    def _close_idle(self, state: ListenerState, now: float) -> None:
         for connection in list(state.connections):
             if self.may_close(connection.opened_at, now):
                 connection.close_if_idle()
--- a/src/ramppin/gateway/process/limits/readiness.py
+++ b/src/ramppin/gateway/process/limits/readiness.py
@@ -33,8 +33,8 @@
         else:
             self._connection.send_whole(200 if self._is_ready() else 503, [], b"")
 
-    def accept_leave(self) -> None:
+    def accept_disconnect(self) -> None:
         """Nothing is in flight here."""
 
-    def accept_flow(self, *, paused: bool) -> None:
+    def accept_backpressure(self, *, paused: bool) -> None:
         """Answers here are small."""
--- a/src/ramppin/gateway/process/membership/health.py
+++ b/src/ramppin/gateway/process/membership/health.py
@@ -15,13 +15,13 @@
 FAILURE_LIMIT = 0.45
 """Failure rate above which a server is set aside."""
 
-RETURN_RATE = 0.3
+RETURN_FAILURE_RATE = 0.3
 """Failure rate with which a server comes back: one more failure counts."""
 
-FIRST_PAUSE_S = 0.5
-LONGEST_PAUSE_S = 4.0
-BUSY_PAUSE_S = 0.15
-SILENCE_S = 0.8
+FIRST_EJECTION_S = 0.5
+LONGEST_EJECTION_S = 4.0
+BUSY_EJECTION_S = 0.15
+UNRESPONSIVE_AFTER_S = 0.8
 """Silence with a request in flight after which a server counts as silent."""
 
 
@@ -42,8 +42,8 @@
 
     def __init__(self) -> None:
         self.failure_rate = 0.0
-        self.aside_until = float("-inf")
-        self._pause_s = FIRST_PAUSE_S
+        self.ejected_until = float("-inf")
+        self._ejection_s = FIRST_EJECTION_S
         self._awaited_since: float | None = None
 
     def note_sent(self, now: float) -> None:
@@ -51,7 +51,7 @@
         if self._awaited_since is None:
             self._awaited_since = now
 
-    def note_heard(self, now: float, *, awaited: bool) -> None:
+    def note_received(self, now: float, *, awaited: bool) -> None:
         """Note bytes from the server.
 
         Args:
@@ -60,31 +60,31 @@
         """
         self._awaited_since = now if awaited else None
 
-    def is_silent(self, now: float) -> bool:
+    def is_unresponsive(self, now: float) -> bool:
         """Return whether answers are due and nothing has come for long."""
         since = self._awaited_since
-        return since is not None and now - since > SILENCE_S
+        return since is not None and now - since > UNRESPONSIVE_AFTER_S
 
     def note_outcome(self, outcome: Outcome, now: float) -> None:
         """Take what a request showed."""
         if outcome is Outcome.REJECTED:
-            self.aside_until = max(self.aside_until, now + BUSY_PAUSE_S)
+            self.ejected_until = max(self.ejected_until, now + BUSY_EJECTION_S)
             return
         if outcome is Outcome.UNREACHABLE:
-            self._set_aside(now)
+            self._eject(now)
             return
         failed = 1.0 if outcome is Outcome.FAILED else 0.0
         self.failure_rate += FAILURE_WEIGHT * (failed - self.failure_rate)
         if outcome is Outcome.ANSWERED:
-            self._pause_s = FIRST_PAUSE_S
-        elif self.failure_rate > FAILURE_LIMIT and now >= self.aside_until:
-            self._set_aside(now)
-            self.failure_rate = RETURN_RATE
+            self._ejection_s = FIRST_EJECTION_S
+        elif self.failure_rate > FAILURE_LIMIT and now >= self.ejected_until:
+            self._eject(now)
+            self.failure_rate = RETURN_FAILURE_RATE
 
-    def is_aside(self, now: float) -> bool:
+    def is_suspect(self, now: float) -> bool:
         """Return whether other servers should be preferred."""
-        return now < self.aside_until or self.is_silent(now)
+        return now < self.ejected_until or self.is_unresponsive(now)
 
-    def _set_aside(self, now: float) -> None:
-        self.aside_until = now + self._pause_s
-        self._pause_s = min(LONGEST_PAUSE_S, self._pause_s * 2)
+    def _eject(self, now: float) -> None:
+        self.ejected_until = now + self._ejection_s
+        self._ejection_s = min(LONGEST_EJECTION_S, self._ejection_s * 2)
--- a/src/ramppin/gateway/process/membership/members.py
+++ b/src/ramppin/gateway/process/membership/members.py
@@ -21,14 +21,14 @@
 FAR_HEARTBEATS_PER_S = 40.0
 """Heartbeats that one VM sends to other failure domains, whatever their size."""
 
-SILENT_AFTER_HEARTBEATS = 2.4
+MISSED_HEARTBEATS = 2.4
 """A VM that missed this many heartbeats gets hints only now and then."""
 
-TRY_AGAIN_S = 5.0
+RETRY_MISSING_VM_S = 5.0
 
 
 class MemberRecord(msgspec.Struct):
-    """A VM's entry: where its peers reach it, and how strong it is."""
+    """A VM's entry: where its peers reach it, and its capacity beside theirs."""
 
     host: str
     failure_domain: str = ""
@@ -42,17 +42,18 @@
     Attributes:
         vm: its name.
         host: its IP address.
-        heard_at: the loop's time of its last message, or of its entry.
+        last_seen_at: the loop's time of its last message, or of its entry.
         failure_domain: where it stands.
-        weight: how strong it is; the strongest read the log for others.
+        capacity_weight: its capacity beside that of other VMs; the VMs with most
+            read the log for others.
         tried_at: the loop's time at which it was last sent something.
     """
 
     vm: str
     host: str
-    heard_at: float
+    last_seen_at: float
     failure_domain: str = ""
-    weight: float = 1.0
+    capacity_weight: float = 1.0
     tried_at: float = float("-inf")
 
 
@@ -90,12 +91,12 @@
             record.key, entry.host, now, entry.failure_domain, entry.weight
         )
 
-    def note_heard(self, vm: str, host: str, now: float) -> bool:
+    def note_received(self, vm: str, host: str, now: float) -> bool:
         """Note a message; return whether the sender is a known VM."""
         member = self._members.get(vm)
         if member is None or member.host != host:
             return False
-        member.heard_at = now
+        member.last_seen_at = now
         return True
 
     def choose_heartbeat_s(self, *, near: bool) -> float:
@@ -114,13 +115,13 @@
 
         Those that were not heard of late are tried only now and then.
         """
-        silent_s = self._choose_silence_s(near=near)
+        timeout_s = self._choose_timeout_s(near=near)
         chosen = []
         for member in self._members.values():
             if self._is_near(member) != near:
                 continue
-            silent = now - member.heard_at > silent_s
-            if silent and now - member.tried_at < TRY_AGAIN_S:
+            missing = now - member.last_seen_at > timeout_s
+            if missing and now - member.tried_at < RETRY_MISSING_VM_S:
                 continue
             member.tried_at = now
             chosen.append(member.host)
@@ -128,37 +129,39 @@
 
     def list_live(self, now: float) -> list[str]:
         """Return the names of VMs that were heard of late."""
-        near_s = self._choose_silence_s(near=True)
-        far_s = self._choose_silence_s(near=False)
+        near_s = self._choose_timeout_s(near=True)
+        far_s = self._choose_timeout_s(near=False)
         return [
             member.vm
             for member in self._members.values()
-            if now - member.heard_at <= (near_s if self._is_near(member) else far_s)
+            if now - member.last_seen_at <= (near_s if self._is_near(member) else far_s)
         ]
 
     def list_live_near(self, now: float) -> list[Member]:
         """Return the VMs of the own failure domain that were heard of late."""
-        silent_s = self._choose_silence_s(near=True)
+        timeout_s = self._choose_timeout_s(near=True)
         return [
             member
             for member in self._members.values()
-            if self._is_near(member) and now - member.heard_at <= silent_s
+            if self._is_near(member) and now - member.last_seen_at <= timeout_s
         ]
 
-    def list_heard_first(self) -> list[Member]:
+    def list_last_seen_first(self) -> list[Member]:
         """Return all members, those heard last first."""
-        return sorted(self._members.values(), key=lambda m: m.heard_at, reverse=True)
+        return sorted(
+            self._members.values(), key=lambda m: m.last_seen_at, reverse=True
+        )
 
     def _is_near(self, member: Member) -> bool:
         return member.failure_domain == self._failure_domain
 
-    def _choose_silence_s(self, *, near: bool) -> float:
-        return SILENT_AFTER_HEARTBEATS * self.choose_heartbeat_s(near=near)
+    def _choose_timeout_s(self, *, near: bool) -> float:
+        return MISSED_HEARTBEATS * self.choose_heartbeat_s(near=near)
 
 
 async def announce(log: RecordLog, own: Member) -> None:
     """Write this VM's entry into the shared log; try until it is there."""
-    entry = MemberRecord(own.host, own.failure_domain, own.weight)
+    entry = MemberRecord(own.host, own.failure_domain, own.capacity_weight)
     value = msgspec.json.encode(entry)
     while True:
         try:
--- a/src/ramppin/gateway/process/operations.py
+++ b/src/ramppin/gateway/process/operations.py
@@ -74,7 +74,7 @@
                     "load": state.estimate_load(now),
                     "report_age_s": _shorten(state.measure_report_age(now)),
                     "failure_rate": round(state.health.failure_rate, 2),
-                    "aside": state.health.is_aside(now),
+                    "aside": state.health.is_suspect(now),
                 }
                 for state in context.directory
             ],
@@ -97,9 +97,9 @@
             metrics.log_up.labels(name).set(table.follower.reachable)
         for service in context.directory.list_services():
             states = context.directory.list_open(service)
-            aside = sum(state.health.is_aside(now) for state in states)
+            aside = sum(state.health.is_suspect(now) for state in states)
             metrics.open_servers.labels(service).set(len(states))
-            metrics.servers_aside.labels(service).set(aside)
+            metrics.suspect_servers.labels(service).set(aside)
 
 
 class OperationsResponder(Responder):
@@ -141,10 +141,10 @@
         else:
             self._connection.send_whole(404, [], b"")
 
-    def accept_leave(self) -> None:
+    def accept_disconnect(self) -> None:
         """Nothing is in flight here."""
 
-    def accept_flow(self, *, paused: bool) -> None:
+    def accept_backpressure(self, *, paused: bool) -> None:
         """Answers here are small."""
 
     def _send_json(self, value: object) -> None:
--- a/src/ramppin/gateway/process/recovery/peerrecords.py
+++ b/src/ramppin/gateway/process/recovery/peerrecords.py
@@ -178,10 +178,10 @@
             if replica is not None:
                 replica.call_when_advanced(answer_soon)
 
-    def accept_leave(self) -> None:
+    def accept_disconnect(self) -> None:
         """Nothing is in flight here."""
 
-    def accept_flow(self, *, paused: bool) -> None:
+    def accept_backpressure(self, *, paused: bool) -> None:
         """Answers here are small."""
 
     def _build_answer(self, question: PeerQuestion) -> bytes:
--- a/src/ramppin/gateway/process/recovery/relays.py
+++ b/src/ramppin/gateway/process/recovery/relays.py
@@ -105,7 +105,7 @@
     if len(near) < MIN_VMS:
         return []
     key = hash_name(f"relay of {own.failure_domain}")
-    near.sort(key=lambda vm: (-vm.weight, mix(key, hash_name(vm.vm))))
+    near.sort(key=lambda vm: (-vm.capacity_weight, mix(key, hash_name(vm.vm))))
     return near[:RELAYS]
 
 
--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -161,7 +161,7 @@
 
     def list_peers(self) -> list[str]:
         """Return the addresses of peers to ask: those heard last, and seeds."""
-        heard = [member.host for member in self.members.list_heard_first()]
+        heard = [member.host for member in self.members.list_last_seen_first()]
         hosts = heard[:PEERS_CONSIDERED] + list(self._config.seeds)
         own = self._config.peers.host
         return sorted({host for host in hosts if host != own})
--- a/src/ramppin/gateway/process/reporting/decisions.py
+++ b/src/ramppin/gateway/process/reporting/decisions.py
@@ -32,7 +32,7 @@
         self._vm = vm
         self._descriptor = sys.stdout.fileno() if descriptor is None else descriptor
         self._lines: list[str] = []
-        self._rest = b""
+        self._unwritten = b""
         self._answered_left = LINES_PER_S
         self._others_left = FAILURE_LINES_PER_S
         self._dropped = 0
@@ -64,7 +64,7 @@
 
     def flush(self) -> None:
         """Write what was collected; what the reader won't take is kept once."""
-        data = self._rest + "".join(self._lines).encode()
+        data = self._unwritten + "".join(self._lines).encode()
         self._lines.clear()
         if not data:
             return
@@ -74,7 +74,7 @@
             written = 0
         except OSError:
             written = len(data)
-        self._rest = data[written:][: 256 * 1024]
+        self._unwritten = data[written:][: 256 * 1024]
 
     def _append(self, event: str, fields: dict[str, object]) -> None:
         line = {"time": round(time.time(), 3), "vm": self._vm, "event": event}
--- a/src/ramppin/gateway/process/reporting/metrics.py
+++ b/src/ramppin/gateway/process/reporting/metrics.py
@@ -69,7 +69,7 @@
             ["service"],
             registry=registry,
         )
-        self.servers_aside = Gauge(
+        self.suspect_servers = Gauge(
             "ramppin_gateway_servers_aside",
             "Open backend servers that others are preferred to, by service.",
             ["service"],
--- a/src/ramppin/gateway/process/routing/directory.py
+++ b/src/ramppin/gateway/process/routing/directory.py
@@ -155,7 +155,7 @@
         state = self._states.get(server_id) if server_id else None
         if state is None or state.missing:
             return None
-        return None if state.health.is_aside(now) else state.server
+        return None if state.health.is_suspect(now) else state.server
 
     def list_open(self, service: str) -> list[ServerState]:
         """Return the backend servers of a service that may get new work."""
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -55,7 +55,7 @@
     def take(self, hints: PeerHints, host: str) -> None:
         """Take a message of another VM."""
         now = asyncio.get_running_loop().time()
-        if not self._members.note_heard(hints.vm, host, now):
+        if not self._members.note_received(hints.vm, host, now):
             return
         for hint in hints.homes:
             notice = HomeNotice(hint.key, hint.server, hint.age_ms / 1000)
--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -17,7 +17,7 @@
 SAME_TIME_S = 0.5
 """Homes made within this time of each other count as made at the same time."""
 
-TELL_AGAIN_S = 4.0
+ANNOUNCE_AGAIN_S = 4.0
 """A home in use is told again after this long, for VMs that have not heard."""
 
 
@@ -27,13 +27,13 @@
 
     Attributes:
         server: the backend server's id.
-        made_at: the loop's time at which it was placed there.
-        told_at: the loop's time at which peers were last told, by anyone.
+        placed_at: the loop's time at which it was placed there.
+        announced_at: the loop's time at which peers were last told, by anyone.
     """
 
     server: str
-    made_at: float
-    told_at: float
+    placed_at: float
+    announced_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,8 +93,8 @@
     def note_used(self, key: int, now: float) -> None:
         """Note that a home was used; tell it again in time."""
         home = self._find(key)
-        if home is not None and now - home.told_at > TELL_AGAIN_S:
-            home.told_at = now
+        if home is not None and now - home.announced_at > ANNOUNCE_AGAIN_S:
+            home.announced_at = now
             self._notices[key] = home
 
     def take_notice(self, notice: HomeNotice, now: float) -> None:
@@ -106,8 +106,8 @@
         if ours is None or not self._is_usable(ours.server):
             self._put(notice.key, theirs)
         elif ours.server == theirs.server:
-            ours.made_at = min(ours.made_at, theirs.made_at)
-            ours.told_at = now
+            ours.placed_at = min(ours.placed_at, theirs.placed_at)
+            ours.announced_at = now
             self._notices.pop(notice.key, None)
         elif _wins(notice.key, theirs, ours):
             self._put(notice.key, theirs)
@@ -119,7 +119,7 @@
         """Return what peers should be told now, at most ``limit`` notices."""
         keys = list(self._notices)[:limit]
         return [
-            HomeNotice(key, home.server, max(0.0, now - home.made_at))
+            HomeNotice(key, home.server, max(0.0, now - home.placed_at))
             for key in keys
             if (home := self._notices.pop(key))
         ]
@@ -128,7 +128,7 @@
         """Return the usable homes that were placed or told last."""
         found = [*reversed(self._young.items()), *reversed(self._old.items())]
         return [
-            HomeNotice(key, home.server, max(0.0, now - home.made_at))
+            HomeNotice(key, home.server, max(0.0, now - home.placed_at))
             for key, home in found[:limit]
             if self._is_usable(home.server)
         ]
@@ -152,7 +152,7 @@
 
 
 def _wins(key: int, theirs: Home, ours: Home) -> bool:
-    difference = theirs.made_at - ours.made_at
+    difference = theirs.placed_at - ours.placed_at
     if abs(difference) > SAME_TIME_S:
         return difference < 0
     return mix(key, hash_name(theirs.server)) > mix(key, hash_name(ours.server))
--- a/src/ramppin/gateway/process/routing/selection.py
+++ b/src/ramppin/gateway/process/routing/selection.py
@@ -74,7 +74,7 @@
 ) -> list[ServerState]:
     """Return the servers to choose from: sound ones with room, else any left."""
     left = [state for state in states if state.id not in request.exclude]
-    sound = [state for state in left if not state.health.is_aside(now)] or left
+    sound = [state for state in left if not state.health.is_suspect(now)] or left
     limit = request.max_in_flight
     if limit is None:
         return sound
--- a/src/ramppin/gateway/request/attempt.py
+++ b/src/ramppin/gateway/request/attempt.py
@@ -21,12 +21,12 @@
     AnswerReceiver,
     UpstreamConnection,
 )
-from ramppin.gateway.process.membership.health import SILENCE_S, Outcome
+from ramppin.gateway.process.membership.health import UNRESPONSIVE_AFTER_S, Outcome
 from ramppin.gateway.process.routing.directory import ServerState
 from ramppin.gateway.request.events import EventSplitter
 from ramppin.gateway.version.routing import Route
 
-MAX_HELD_BYTES = 262_144
+MAX_BUFFERED_BYTES = 262_144
 """Part of a whole answer that is held before it is passed on in pieces."""
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503, 400})
@@ -34,7 +34,7 @@
 
 MISDIRECTED = 421
 
-SILENCE_CHECK_S = 0.2
+UNRESPONSIVE_CHECK_S = 0.2
 """Time between two looks at whether the server has gone silent."""
 
 _LENGTH = frozenset({b"content-length"})
@@ -48,7 +48,7 @@
     FAILED = "failed"
     NOT_SENT = "not sent"
     TIMED_OUT = "timed out"
-    CALLER_LEFT = "caller left"
+    CALLER_DISCONNECTED = "caller left"
 
 
 @dataclass(slots=True)
@@ -110,12 +110,12 @@
         self._result: asyncio.Future[AttemptResult] = self._loop.create_future()
         self._connection: UpstreamConnection | None = None
         self._head: AnswerHead | None = None
-        self._held: list[bytes] = []
-        self._held_size = 0
-        self._passing = False
+        self._buffered: list[bytes] = []
+        self._buffered_size = 0
+        self._forwarding = False
         self._first_byte_at: float | None = None
-        self._heard_at = 0.0
-        self._held_back = False
+        self._received_at = 0.0
+        self._paused = False
         self._watch_timer: asyncio.TimerHandle | None = None
         self.started: bool = previous.started if previous else False
         self._events: EventSplitter | None = None
@@ -147,7 +147,7 @@
             route: the request's route.
         """
         self._connection = connection
-        self._heard_at = self._loop.time()
+        self._received_at = self._loop.time()
         timer = self._loop.call_at(ends_at, self.cancel, AttemptEnd.TIMED_OUT)
         self._watch()
         try:
@@ -169,12 +169,12 @@
         self._note_heard(due=False)
         self._finish(end)
 
-    def hold_back(self, paused: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """Pause or resume the server's answer."""
         if self._connection is None or self._result.done():
             return
         # A server that is held back here is not silent.
-        self._held_back = paused
+        self._paused = paused
         self._note_heard(due=not paused)
         if paused:
             self._connection.pause()
@@ -200,13 +200,15 @@
         if self._result.done():
             return
         self._note_heard(due=True)
-        if self._passing:
-            self._pass_on(data)
+        if self._forwarding:
+            self._forward(data)
             return
-        self._held.append(data)
-        self._held_size += len(data)
-        if self._is_good() and (self._streams or self._held_size > MAX_HELD_BYTES):
-            self._start_passing()
+        self._buffered.append(data)
+        self._buffered_size += len(data)
+        if self._is_success() and (
+            self._streams or self._buffered_size > MAX_BUFFERED_BYTES
+        ):
+            self._start_forwarding()
 
     def accept_end(self) -> None:
         """Pass the end of a whole answer on."""
@@ -214,20 +216,20 @@
         head = self._head
         if head is None or self._result.done():
             return
-        if not self._is_good():
-            self._refuse_answer(head)
+        if not self._is_success():
+            self._end_without_success(head)
             return
-        if self._streams and not self._passing:
-            self._start_passing()
+        if self._streams and not self._forwarding:
+            self._start_forwarding()
         if self._events is not None and self._events.partial:
             self._fail("the stream ended in the middle of an event")
             return
-        if self._passing:
+        if self._forwarding:
             self._caller.end_stream()
         else:
             self._first_byte_at = self._loop.time()
             headers = keep_end_to_end(head.headers, _LENGTH)
-            self._caller.send_whole(head.status, headers, b"".join(self._held))
+            self._caller.send_whole(head.status, headers, b"".join(self._buffered))
         self._state.health.note_outcome(Outcome.ANSWERED, self._loop.time())
         self._finish(AttemptEnd.DELIVERED)
 
@@ -238,7 +240,7 @@
 
     # inside
 
-    def _is_good(self) -> bool:
+    def _is_success(self) -> bool:
         """Return whether the answer is a success that may be passed on."""
         head = self._head
         return (
@@ -248,21 +250,21 @@
             and find_header(head.headers, b"content-encoding") is None
         )
 
-    def _start_passing(self) -> None:
+    def _start_forwarding(self) -> None:
         head = self._head
         assert head is not None
-        self._passing = True
+        self._forwarding = True
         if not self.started:
             self.started = True
             self._first_byte_at = self._loop.time()
             headers = keep_end_to_end(head.headers, _LENGTH)
             length = None if self._events is not None else head.length
             self._caller.start_stream(head.status, headers, length)
-        held, self._held = self._held, []
+        held, self._buffered = self._buffered, []
         for data in held:
-            self._pass_on(data)
+            self._forward(data)
 
-    def _pass_on(self, data: bytes) -> None:
+    def _forward(self, data: bytes) -> None:
         if self._events is None:
             self._caller.send_piece(data)
             return
@@ -271,10 +273,10 @@
         except ProtocolError as error:
             self._fail(error.message)
 
-    def _refuse_answer(self, head: AnswerHead) -> None:
+    def _end_without_success(self, head: AnswerHead) -> None:
         """End the attempt with an answer that is no success."""
         health, now = self._state.health, self._loop.time()
-        body = b"".join(self._held)
+        body = b"".join(self._buffered)
         if 200 <= head.status < 300:
             health.note_outcome(Outcome.FAILED, now)
             self._finish(AttemptEnd.FAILED, "a success that is not the server's own")
@@ -332,11 +334,14 @@
         if self._result.done():
             return
         now = self._loop.time()
-        silent = now - self._heard_at > SILENCE_S and self._state.health.is_silent(now)
-        if silent and not self._held_back and self._may_move():
+        silent = (
+            now - self._received_at > UNRESPONSIVE_AFTER_S
+            and self._state.health.is_unresponsive(now)
+        )
+        if silent and not self._paused and self._may_move():
             self._fail("the server went silent")
             return
-        self._watch_timer = self._loop.call_later(SILENCE_CHECK_S, self._watch)
+        self._watch_timer = self._loop.call_later(UNRESPONSIVE_CHECK_S, self._watch)
 
     def _note_heard(self, *, due: bool) -> None:
         """Note bytes, or the end of what was awaited.
@@ -344,9 +349,9 @@
         Args:
             due: whether more of this answer is awaited.
         """
-        self._heard_at = self._loop.time()
+        self._received_at = self._loop.time()
         awaited = due or self._state.in_flight > 1
-        self._state.health.note_heard(self._heard_at, awaited=awaited)
+        self._state.health.note_received(self._received_at, awaited=awaited)
 
     def _note_load(self, headers: Headers) -> None:
         told = find_header(headers, self._names.load)
--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -31,7 +31,7 @@
 MIN_TIME_LEFT_S = 0.02
 """Time below which another attempt is not worth its price."""
 
-REST_LIMIT_ONCE_S = 0.7
+IDLE_LIMIT_ONCE_S = 0.7
 """Longest rest of a connection that carries what can't be repeated."""
 
 
@@ -58,15 +58,15 @@
         self._context.tasks.add(task)
         task.add_done_callback(self._context.finish_task)
 
-    def accept_leave(self) -> None:
+    def accept_disconnect(self) -> None:
         """Give the exchange up."""
         if self._exchange is not None:
-            self._exchange.leave()
+            self._exchange.disconnect()
 
-    def accept_flow(self, *, paused: bool) -> None:
+    def accept_backpressure(self, *, paused: bool) -> None:
         """Hold the answer's source back, or let it go on."""
         if self._exchange is not None:
-            self._exchange.hold_back(paused)
+            self._exchange.set_paused(paused)
 
 
 class Exchange:
@@ -91,7 +91,7 @@
         self._request = request
         self._loop = asyncio.get_running_loop()
         self._attempt: Attempt | None = None
-        self._left = False
+        self._disconnected = False
         self._tried: set[str] = set()
         self._tries = 0
         self._runs = 0
@@ -107,16 +107,16 @@
 
     # what the connection tells
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """Give up: the caller is gone."""
-        self._left = True
+        self._disconnected = True
         if self._attempt is not None:
-            self._attempt.cancel(AttemptEnd.CALLER_LEFT)
+            self._attempt.cancel(AttemptEnd.CALLER_DISCONNECTED)
 
-    def hold_back(self, paused: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """Pause or resume the answer's source."""
         if self._attempt is not None:
-            self._attempt.hold_back(paused)
+            self._attempt.set_paused(paused)
 
     # the request's course
 
@@ -134,7 +134,7 @@
             await self._serve(admitted)
         except Exception:
             # Whatever went wrong here, the caller must not wait for an answer.
-            self._connection.break_off()
+            self._connection.abort()
             raise
         finally:
             context.in_flight -= 1
@@ -167,8 +167,10 @@
                 return
             result = await self._try(admission, selection, builder)
             self._log_attempt(admission, selection, result)
-            if result.end is AttemptEnd.DELIVERED or self._left:
-                self._count(admission.service, 0 if self._left else result.status)
+            if result.end is AttemptEnd.DELIVERED or self._disconnected:
+                self._count(
+                    admission.service, 0 if self._disconnected else result.status
+                )
                 return
             if result.last_event_id is not None:
                 builder.resume_after(result.last_event_id)
@@ -178,7 +180,7 @@
             last = result
 
     def _select(self, admission: Admission) -> Selection | None:
-        if self._left or self._tries >= MAX_TRIES:
+        if self._disconnected or self._tries >= MAX_TRIES:
             return None
         context, now = self._context, self._loop.time()
         if self._ends_at - now < MIN_TIME_LEFT_S:
@@ -205,7 +207,7 @@
             if isinstance(connection, AttemptResult):
                 return connection
             now = self._loop.time()
-            if self._left or self._ends_at <= now:
+            if self._disconnected or self._ends_at <= now:
                 context.pool.release_unused(connection)
                 return AttemptResult(AttemptEnd.NOT_SENT, message="too late")
             attempt = Attempt(
@@ -230,7 +232,7 @@
                 self._runs -= 1
             share = context.share_connections(admission.service)
             spare = None if share is None else share - state.in_flight
-            context.pool.release(connection, max_resting=spare)
+            context.pool.release(connection, max_idle_connections=spare)
             return result
         finally:
             state.in_flight -= 1
@@ -245,7 +247,7 @@
                 server.id,
                 server.host,
                 server.port,
-                max_rest_s=REST_LIMIT_ONCE_S if once else float("inf"),
+                max_idle_s=IDLE_LIMIT_ONCE_S if once else float("inf"),
             )
         except NotSentError as error:
             selection.state.health.note_outcome(Outcome.UNREACHABLE, self._loop.time())
@@ -261,7 +263,7 @@
         others = [
             state
             for state in context.directory.list_open(admission.service)
-            if state.id not in self._tried and not state.health.is_aside(now)
+            if state.id not in self._tried and not state.health.is_suspect(now)
         ]
         return bool(others) and context.has_retry(admission.service, now)
 
@@ -282,7 +284,7 @@
         """Give the final answer after an attempt that is not followed by another."""
         if self._started:
             self._count(admission.service, result.status)
-            self._connection.break_off()
+            self._connection.abort()
         elif result.answer is not None and result.end is AttemptEnd.FAILED:
             self._count(admission.service, result.status)
             head, body = result.answer
@@ -291,11 +293,11 @@
             self._give_up(admission, result)
 
     def _give_up(self, admission: Admission, last: AttemptResult | None) -> None:
-        if self._left:
+        if self._disconnected:
             return
         if self._started:
             self._count(admission.service, last.status if last else 0)
-            self._connection.break_off()
+            self._connection.abort()
             return
         headers: Headers = []
         if self._runs == 0:
