--- a/features/gateway/rules.feature
+++ b/features/gateway/rules.feature
@@ -172,6 +172,67 @@
       | 0    | 0     | no   |
       | 0    | -2    | no   |
 
+  Scenario Outline: peers are asked: the log is <log>, the table <age> s old
+    Then with the log <log> and a table <age> s old peers are asked: <asked>
+
+    Examples:
+      | log  | age  | asked |
+      | up   | 2.6  | no    |
+      | up   | 2.7  | yes   |
+      | away | 0.1  | yes   |
+
+  Scenario Outline: which peers may be asked: seen <seen>, seeds <seeds>
+    Then of peers seen "<seen>" and seeds "<seeds>" the candidates of "p1" are "<candidates>"
+
+    Examples:
+      | seen                 | seeds | candidates        |
+      | none                 | none  | none              |
+      | none                 | p1 s1 | s1                |
+      | p3 p2 p1             | none  | p2 p3             |
+      | p9 p8 p7 p6 p5 p4 p3 | s1    | p4 p5 p6 p7 p8 p9 s1 |
+      | p2 p3                | p2 p3 | p2 p3             |
+
+  Scenario Outline: how many of <count> peers are asked at a time
+    Then of <count> candidates <asked> different ones are asked
+
+    Examples:
+      | count | asked |
+      | 0     | 0     |
+      | 1     | 1     |
+      | 2     | 2     |
+      | 9     | 2     |
+
+  Scenario Outline: a relay's answer within a bound of 2 s: position <position>, <age> s old
+    Then a relay's answer at position <position> that is <age> s old is accepted after position 7: <accepted>
+
+    Examples:
+      | position | age  | accepted |
+      | 7        | 0.0  | yes      |
+      | 9        | 1.0  | yes      |
+      | 9        | 1.01 | no       |
+      | 6        | 0.0  | no       |
+      | none     | 0.0  | no       |
+
+  Scenario Outline: which relay "<vm>" asks among "<relays>"
+    Then among relays "<relays>" the VM "<vm>" asks <count> one
+
+    Examples:
+      | vm | relays | count |
+      | a1 | none   | no    |
+      | a1 | a1 a2  | no    |
+      | a3 | a1 a2  | some  |
+
+  Scenario Outline: which of two homes of a prefix wins: theirs <theirs> s old, ours <ours> s old
+    Then a home placed <theirs> s ago wins over one placed <ours> s ago: <wins>
+
+    Examples:
+      | theirs | ours | wins          |
+      | 2.0    | 1.0  | always        |
+      | 1.0    | 2.0  | never         |
+      | 1.5    | 1.0  | if it ranks higher |
+      | 1.0    | 1.0  | if it ranks higher |
+      | 1.6    | 1.0  | always        |
+
   Scenario Outline: a planned stop after <passed> s, a request of <limit> s
     Then <passed> s into a planned stop a request of <limit> s is taken: <taken>
 
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -4,7 +4,6 @@
 
 import itertools
 import json
-import random
 
 from behave import then
 from hypothesis import given as generated
@@ -19,8 +18,8 @@
     Outcome,
     ServerHealth,
 )
-from ramppin.gateway.process.recovery.follower import Follower
 from ramppin.gateway.process.recovery.replica import Record, Replica
+from ramppin.gateway.process.recovery.vanished import find_hold_end
 from ramppin.gateway.process.routing.directory import BackendServer, ServerDirectory
 from ramppin.gateway.process.routing.eligibility import (
     list_eligible,
@@ -34,7 +33,6 @@
 from ramppin.gateway.request.events import EventSplitter
 from ramppin.gateway.version.routingfile import TreeDecoder
 from ramppin.ranking import hash_name, mix
-from standins.tables import TableStandIn
 
 GENERATION = generation(max_examples=60, deadline=None, derandomize=True)
 
@@ -272,22 +270,14 @@
 # outages
 
 
-def follow_course(course: str) -> Follower:
-    """Build a follower that lost and regained its source at the times named."""
-    replica = Replica("servers", lambda record: None)
-    follower = Follower(
-        replica, TableStandIn(), pace_s=0, wait_s=0, generator=random.Random(1)
-    )
-    words = course.split()
-    if "lost" in words:
-        follower._reachable = "regained" in words
-    if "regained" in words:
-        follower.regained_at = float(words[words.index("regained") + 1])
-    return follower
-
-
 def check_hold(course: str, now: float, end: float | None) -> None:
-    found = follow_course(course).find_hold_end(now, 2.2)
+    words = course.split()
+    regained = "regained" in words
+    found = find_hold_end(
+        reachable="lost" not in words or regained,
+        regained_at=float(words[-1]) if regained else float("-inf"),
+        now=now,
+    )
     assert found == end or abs(found - end) < 1e-9, found
 
 
--- a/features/steps/gateway_record_steps.py
+++ b/features/steps/gateway_record_steps.py
@@ -300,7 +300,7 @@
     follower = Follower(
         context.replica,
         context.slow_table,
-        pace_s=0.01,
+        interval_s=0.01,
         wait_s=0.1,
         generator=Random(1),
     )
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -14,11 +14,8 @@
     Member,
     MemberRecord,
 )
-from ramppin.gateway.process.recovery.relays import (
-    RelayedSource,
-    RelayTimes,
-    choose_relays,
-)
+from ramppin.gateway.process.recovery.relayrules import RelayTimes, choose_relays
+from ramppin.gateway.process.recovery.relays import RelayedSource
 from ramppin.gateway.process.recovery.replica import Record
 from standins.common import wait_for
 from standins.tables import TableStandIn
--- a/features/steps/interface_steps.py
+++ b/features/steps/interface_steps.py
@@ -31,7 +31,7 @@
 from ramppin.cli import app
 from ramppin.gateway.connection.datagrams import HomeHint, PeerHints
 from ramppin.gateway.process.membership.members import MemberRecord
-from ramppin.gateway.process.recovery.peerrecords import (
+from ramppin.gateway.process.recovery.peermessages import (
     PeerAnswer,
     PeerQuestion,
     PeerRecord,
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -27,7 +27,7 @@
 from ramppin.gateway.process.limits.readiness import ReadinessResponder
 from ramppin.gateway.process.limits.retrybudget import RetryBudget
 from ramppin.gateway.process.operations import GatewayState, OperationsResponder
-from ramppin.gateway.process.recovery.peerrecords import RecordsResponder
+from ramppin.gateway.process.recovery.peeranswers import RecordsResponder
 from ramppin.gateway.process.recovery.tables import GatewaySources, GatewayTables
 from ramppin.gateway.process.reporting.decisions import DecisionLog
 from ramppin.gateway.process.routing.directory import ServerDirectory
--- a/src/ramppin/gateway/process/operations.py
+++ b/src/ramppin/gateway/process/operations.py
@@ -14,7 +14,7 @@
 from ramppin.gateway.connection.callerwire import CallerConnection, Responder
 from ramppin.gateway.connection.requestreader import CallerRequest
 from ramppin.gateway.process.context import GatewayContext
-from ramppin.gateway.process.recovery.peerrecords import FollowedTable
+from ramppin.gateway.process.recovery.follower import FollowedTable
 from ramppin.gateway.process.reporting.explanations import Explanations
 from ramppin.gateway.process.reporting.metrics import GatewayMetrics
 
--- a/src/ramppin/gateway/process/recovery/follower.py
+++ b/src/ramppin/gateway/process/recovery/follower.py
@@ -1,33 +1,46 @@
-"""Keeps a replica current: from the shared log, and from peers without it."""
+"""Keeps a replica current by reading the shared log again and again.
+
+Owns whether the log is reachable for one table, and since when. Peers are asked
+elsewhere (:mod:`~.peerreader`) while it is not.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 import random
+from dataclasses import dataclass
 
 from ramppin.errors import LogTrimmedError, LogUnavailableError
+from ramppin.gateway.process.recovery.peerchoice import is_stale
 from ramppin.gateway.process.recovery.replica import Replica
 from ramppin.gateway.process.recovery.sources import RecordBatch, RecordSource
 
 LOG = logging.getLogger(__name__)
 
 FIRST_BACKOFF_S = 0.1
+"""Seconds before a failed read is repeated; doubled each time, spread by 0.3. Chosen
+with the first version; no run varied it."""
+
 LONGEST_BACKOFF_S = 0.6
+"""Seconds of the longest pause between two failed reads: settings must be in force
+again within 2 s of the log's return."""
 
 FIRST_READ_TIMEOUT_S = 3.0
-LONGEST_READ_TIMEOUT_S = 12.0
-"""Limits of the first read, doubled from one to the other.
+"""Seconds that the first read may take; doubled at each failure.
 
 All VMs may start together and share what the log sends in a second; a read that is
-given up then and begun anew takes from the others and never ends.
+given up then and begun anew takes from the others and never ends (commit 9febf19).
 """
 
+LONGEST_READ_TIMEOUT_S = 12.0
+"""Seconds that any first read may take."""
+
 READ_AGAIN_TIMEOUT_S = 1.0
-"""Limit of a later read of a whole table; what was known still serves."""
+"""Seconds that a later read of a whole table may take; what was known still serves."""
 
-RELAYED_PACE_S = 0.05
-"""Pause after an answer of a relay, which reads the log at its own pace."""
+RELAYED_INTERVAL_S = 0.05
+"""Seconds of pause after an answer of a relay, whose own reads are the ones paced."""
 
 
 class Follower:
@@ -36,7 +49,7 @@
     Args:
         replica: what is kept current.
         source: where its records lie.
-        pace_s: shortest time between two reads.
+        interval_s: shortest time between two reads.
         wait_s: longest time that a read waits at the end of the log.
         generator: spreads the retries of many VMs.
 
@@ -48,13 +61,13 @@
         replica: Replica,
         source: RecordSource,
         *,
-        pace_s: float,
+        interval_s: float,
         wait_s: float,
         generator: random.Random,
     ) -> None:
         self._replica = replica
         self._source = source
-        self._pace_s = pace_s
+        self._interval_s = interval_s
         self._wait_s = wait_s
         self._generator = generator
         self._backoff_s = FIRST_BACKOFF_S
@@ -68,25 +81,6 @@
         """Whether the last read succeeded."""
         return self._reachable
 
-    def find_hold_end(self, now: float, hold_s: float) -> float | None:
-        """Return until when an entry that vanishes now may only have lapsed.
-
-        Entries that lapsed while the source was away are back soon after its
-        return, so a hold ends a fixed time after the return, not after the entry
-        vanished: by then this VM is bound again by what the source says.
-
-        Args:
-            now: the loop's time.
-            hold_s: time after the return in which entries come back.
-
-        Returns:
-            The loop's time, or None if the source was not away of late.
-        """
-        if not self._reachable:
-            return now + hold_s
-        end = self.regained_at + hold_s
-        return end if now < end else None
-
     async def run(self) -> None:
         """Follow the source until cancelled."""
         while True:
@@ -100,9 +94,15 @@
                 await self._back_off()
                 continue
             self._note_regained()
-            pace_s = min(self._pace_s, RELAYED_PACE_S) if relayed else self._pace_s
-            if pace_s:
-                await asyncio.sleep(pace_s)
+            await self._pause(relayed=relayed)
+
+    async def _pause(self, *, relayed: bool) -> None:
+        """Wait between two reads that succeeded."""
+        interval_s = self._interval_s
+        if relayed:
+            interval_s = min(interval_s, RELAYED_INTERVAL_S)
+        if interval_s:
+            await asyncio.sleep(interval_s)
 
     async def _read(self) -> bool:
         """Read once; return whether a relay answered."""
@@ -141,3 +141,26 @@
             self._reachable = True
             self.regained_at = asyncio.get_running_loop().time()
             LOG.info("log regained", extra={"step": self._replica.name})
+
+
+@dataclass(frozen=True, slots=True)
+class FollowedTable:
+    """A replica and what keeps it current.
+
+    Attributes:
+        replica: the table's records.
+        follower: reads them from the log.
+        read_cycle_s: longest time between the ends of two reads that succeed.
+    """
+
+    replica: Replica
+    follower: Follower
+    read_cycle_s: float
+
+    def is_stale(self, now: float) -> bool:
+        """Return whether peers must be asked for the table's records."""
+        return is_stale(
+            reachable=self.follower.reachable,
+            age_s=now - self.replica.confirmed_at,
+            read_cycle_s=self.read_cycle_s,
+        )
--- /dev/null
+++ b/src/ramppin/gateway/process/recovery/peeranswers.py
@@ -0,0 +1,116 @@
+"""Answers the questions of peers for records.
+
+Relies on the replicas of this VM, and says with each answer how old they are.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+
+import msgspec
+
+from ramppin.gateway.connection.callerwire import CallerConnection, Responder
+from ramppin.gateway.connection.requestreader import CallerRequest
+from ramppin.gateway.process.recovery.peermessages import (
+    RECORDS_TARGET,
+    PeerAnswer,
+    PeerQuestion,
+    PeerRecord,
+    TableState,
+    decode_question,
+    encode_answer,
+)
+from ramppin.gateway.process.recovery.replica import Replica
+
+LOG = logging.getLogger(__name__)
+
+MAX_WAIT_MS = 2_000
+"""Longest wait of one question, in milliseconds; above any that a VM asks for."""
+
+NEVER_MS = 1_000_000_000
+"""Milliseconds that stand for an age without bound."""
+
+
+class RecordsResponder(Responder):
+    """Answers peers' questions.
+
+    Args:
+        connection: the peer's connection.
+        replicas: by name, what this VM knows.
+
+    .. versionadded:: 0.2
+    """
+
+    def __init__(
+        self, connection: CallerConnection, replicas: dict[str, Replica]
+    ) -> None:
+        self._connection = connection
+        self._replicas = replicas
+
+    def accept_request(self, request: CallerRequest) -> None:
+        """Answer at once, or when there is news."""
+        if request.target != RECORDS_TARGET.encode():
+            self._connection.send_whole(404, [], b"")
+            return
+        try:
+            question = decode_question(request.body)
+        except msgspec.MsgspecError as error:
+            LOG.warning("unreadable question: %s", error, extra={"step": "records"})
+            self._connection.send_whole(400, [], b"")
+            return
+        if question.wait_ms > 0 and not self._has_news(question):
+            self._wait(question)
+        else:
+            self._connection.send_whole(200, [], self._build_answer(question))
+
+    def accept_disconnect(self) -> None:
+        """Nothing is in flight here."""
+
+    def accept_backpressure(self, *, paused: bool) -> None:
+        """Answers here are small."""
+
+    def _has_news(self, question: PeerQuestion) -> bool:
+        for name, position in question.positions.items():
+            replica = self._replicas.get(name)
+            if replica is not None and replica.position > position:
+                return True
+        return False
+
+    def _wait(self, question: PeerQuestion) -> None:
+        """Answer once a table has moved, or the wait is over."""
+        loop = asyncio.get_running_loop()
+        answered = False
+
+        def answer() -> None:
+            nonlocal answered
+            if not answered:
+                answered = True
+                timer.cancel()
+                self._connection.send_whole(200, [], self._build_answer(question))
+
+        def answer_soon() -> None:
+            # Later in the loop: the records are applied by then.
+            loop.call_soon(answer)
+
+        wait_s = min(question.wait_ms, MAX_WAIT_MS) / 1000
+        timer = loop.call_later(wait_s, answer)
+        for name in question.positions:
+            replica = self._replicas.get(name)
+            if replica is not None:
+                replica.call_when_advanced(answer_soon)
+
+    def _build_answer(self, question: PeerQuestion) -> bytes:
+        now = asyncio.get_running_loop().time()
+        tables = {}
+        for name, position in question.positions.items():
+            replica = self._replicas.get(name)
+            if replica is None or not replica.started:
+                continue
+            age_ms = int(min(NEVER_MS, (now - replica.confirmed_at) * 1000))
+            records = [
+                PeerRecord(record.key, record.value, record.offset)
+                for record in replica.list_since(position)
+            ]
+            tables[name] = TableState(replica.position, age_ms, records)
+        return encode_answer(PeerAnswer(tables))
--- /dev/null
+++ b/src/ramppin/gateway/process/recovery/peerreader.py
@@ -0,0 +1,108 @@
+"""Asks peers for records while the shared log turns this VM away.
+
+When peers are asked, and which, is decided in :mod:`~.peerchoice`. Each answer says
+how old the peer's own knowledge is, so that staleness is never hidden; offsets
+decide, so that a peer that is behind changes nothing.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import random
+from collections.abc import Callable, Sequence
+
+from ramppin.errors import LogUnavailableError
+from ramppin.gateway.connection.fetch import Fetcher
+from ramppin.gateway.process.recovery.follower import FollowedTable
+from ramppin.gateway.process.recovery.peerchoice import choose_peers
+from ramppin.gateway.process.recovery.peermessages import (
+    RECORDS_TARGET,
+    PeerQuestion,
+    TableState,
+    decode_answer,
+    encode_question,
+)
+from ramppin.gateway.process.recovery.replica import Record, Replica
+
+LOG = logging.getLogger(__name__)
+
+ASK_INTERVAL_S = 0.3
+"""Seconds between two looks at whether a table is stale. Chosen with commit 00b5f6c;
+no run varied it."""
+
+ASK_TIMEOUT_S = 0.6
+"""Seconds that a peer may take; others are asked after that. Chosen with commit
+00b5f6c; no run varied it."""
+
+
+class PeerReader:
+    """Asks peers while the log is away.
+
+    Args:
+        vm: this VM's name.
+        port: the port on which every VM answers.
+        tables: what is kept current.
+        list_candidates: returns the addresses of peers that may be asked.
+        generator: chooses among peers.
+
+    .. versionadded:: 0.2
+    """
+
+    def __init__(
+        self,
+        vm: str,
+        port: int,
+        tables: Sequence[FollowedTable],
+        list_candidates: Callable[[], list[str]],
+        generator: random.Random,
+    ) -> None:
+        self._vm = vm
+        self._port = port
+        self._tables = tables
+        self._list_candidates = list_candidates
+        self._generator = generator
+
+    async def run(self) -> None:
+        """Ask whenever a replica is stale, until cancelled."""
+        loop = asyncio.get_running_loop()
+        while True:
+            await asyncio.sleep(ASK_INTERVAL_S)
+            now = loop.time()
+            stale = [table for table in self._tables if table.is_stale(now)]
+            if stale:
+                await self._ask_some(stale)
+
+    async def _ask_some(self, stale: list[FollowedTable]) -> None:
+        chosen = choose_peers(self._list_candidates(), self._generator)
+        if chosen:
+            await asyncio.gather(*(self._ask(host, stale) for host in chosen))
+
+    async def _ask(self, host: str, stale: list[FollowedTable]) -> None:
+        loop = asyncio.get_running_loop()
+        positions = {table.replica.name: table.replica.position for table in stale}
+        question = encode_question(PeerQuestion(self._vm, positions))
+        asked_at = loop.time()
+        fetcher = Fetcher(host, self._port, host)
+        try:
+            answer = await fetcher.post(
+                RECORDS_TARGET, question, timeout_s=ASK_TIMEOUT_S
+            )
+            tables = decode_answer(answer.body, host).tables
+        except LogUnavailableError as error:
+            LOG.info("a peer sent no records: %s", error, extra={"peer": host})
+            return
+        finally:
+            fetcher.close()
+        for table in stale:
+            state = tables.get(table.replica.name)
+            if state is not None:
+                _apply(table.replica, state, asked_at)
+
+
+def _apply(replica: Replica, state: TableState, asked_at: float) -> None:
+    as_of = asked_at - state.age_ms / 1000
+    if as_of <= replica.confirmed_at and state.position <= replica.position:
+        return
+    records = [Record(r.key, r.value, r.offset) for r in state.records]
+    replica.apply(records, state.position, as_of)
--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -1,7 +1,8 @@
-"""The tables that a gateway follows, and what their records change.
+"""The tables that a gateway follows: settings, backend servers, the fleet's VMs.
 
-Settings, backend servers and the fleet's VMs come from the shared log, through
-relays in large failure domains, and from peers while the log is away.
+They come from the shared log, through relays in large failure domains, and from
+peers while the log is away. Owns the replicas and what keeps them current; what
+their records change is in :mod:`~.changes`.
 """
 
 from __future__ import annotations
@@ -12,7 +13,6 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ramppin.errors import SettingsError
 from ramppin.gateway.process.config import GatewayConfig
 from ramppin.gateway.process.context import GatewayContext
 from ramppin.gateway.process.membership.members import (
@@ -20,29 +20,36 @@
     Member,
     announce,
 )
-from ramppin.gateway.process.recovery.follower import Follower
-from ramppin.gateway.process.recovery.peerrecords import FollowedTable, PeerReader
-from ramppin.gateway.process.recovery.relays import (
-    RelayChoice,
-    RelayedSource,
-    RelayTimes,
-)
+from ramppin.gateway.process.recovery.changes import RecordChanges
+from ramppin.gateway.process.recovery.follower import FollowedTable, Follower
+from ramppin.gateway.process.recovery.peerchoice import list_candidates
+from ramppin.gateway.process.recovery.peerreader import PeerReader
+from ramppin.gateway.process.recovery.relayrules import RelayTimes
+from ramppin.gateway.process.recovery.relays import RelayChoice, RelayedSource
 from ramppin.gateway.process.recovery.replica import Record, Replica
 from ramppin.gateway.process.recovery.sources import (
     RecordDecoder,
     RecordLog,
     RecordSource,
 )
+from ramppin.gateway.process.recovery.vanished import find_hold_end
 from ramppin.gateway.process.routing.homes import PrefixHomes
 from ramppin.gateway.process.routing.homesnapshot import HomeSnapshots
 
-SETTINGS_PACE_S = 0.05
+SETTINGS_INTERVAL_S = 0.05
+"""Seconds between two reads of the settings, each of which waits at the log's end:
+a pause against a log that answers without waiting."""
+
 SERVER_WAIT_S = 1.0
-MEMBER_PACE_S = 1.0
+"""Seconds that a read of the servers waits. With the pause of 0.8 s a change is known
+after 1.8 s at most, within the platform's 2 s (commit d4419a6)."""
+
+MEMBER_INTERVAL_S = 1.0
+"""Seconds between two reads of the fleet's VMs, which change rarely."""
+
 MEMBER_WAIT_S = 20.0
-PEERS_CONSIDERED = 6
-LAPSE_HOLD_S = 2.2
-"""Entries that lapsed in an outage of the log are back this long after it."""
+"""Seconds that a read of the fleet's VMs waits: heartbeats tell who is live, the
+table only who is new."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,156 +95,138 @@
         self._config = config
         self._sources = sources
         self._context = context
-        self.settings = Replica("settings", self._take_settings)
-        self.servers = Replica("servers", self._take_server)
+        self._generator = generator
         self.members = FleetMembers(config.vm, config.failure_domain)
         self._own = Member(
             config.vm, config.peers.host, 0.0, config.failure_domain, config.weight
         )
         self._relays = RelayChoice(self._own, self.members)
-        self.settings_follower = Follower(
-            self.settings,
-            self._relay(
-                self.settings,
-                sources.settings,
-                bound_s=config.settings_bound_s,
-                pace_s=SETTINGS_PACE_S,
-            ),
-            pace_s=SETTINGS_PACE_S,
-            wait_s=config.settings_wait_s,
-            generator=generator,
-        )
-        self.server_follower = Follower(
-            self.servers,
-            self._relay(
-                self.servers,
-                sources.servers,
-                bound_s=config.leaving_bound_s,
-                pace_s=config.server_pace_s,
-            ),
-            pace_s=config.server_pace_s,
-            wait_s=SERVER_WAIT_S,
-            generator=generator,
-        )
-        member_replica = Replica("members", self._take_member)
-        self._member_follower = Follower(
-            member_replica,
-            sources.members,
-            pace_s=MEMBER_PACE_S,
-            wait_s=MEMBER_WAIT_S,
-            generator=generator,
-        )
-        server_cycle_s = config.server_pace_s + SERVER_WAIT_S
-        member_cycle_s = MEMBER_PACE_S + MEMBER_WAIT_S
-        self.followed = (
-            FollowedTable(
-                self.settings, self.settings_follower, config.settings_wait_s
-            ),
-            FollowedTable(self.servers, self.server_follower, server_cycle_s),
-            FollowedTable(member_replica, self._member_follower, member_cycle_s),
+        changes = RecordChanges(
+            config.settings_key, sources.decoder, context, self._find_hold_end
         )
+        self._settings = self._follow_settings(changes)
+        self._servers = self._follow_servers(changes)
+        self.followed = (self._settings, self._servers, self._follow_members())
         self._peer_reader = PeerReader(
             config.vm, config.records.port, self.followed, self.list_peers, generator
         )
         self.snapshots = HomeSnapshots(
-            config.vm,
-            sources.homes,
-            self.members,
-            homes,
-            lambda: self.servers.started,
+            config.vm, sources.homes, self.members, homes, lambda: self.servers.started
         )
         context.servers_confirmed_at = lambda: self.servers.confirmed_at
 
+    @property
+    def settings(self) -> Replica:
+        """The settings' table."""
+        return self._settings.replica
+
+    @property
+    def servers(self) -> Replica:
+        """The backend servers' table."""
+        return self._servers.replica
+
+    @property
+    def settings_follower(self) -> Follower:
+        """What keeps the settings current."""
+        return self._settings.follower
+
+    @property
+    def server_follower(self) -> Follower:
+        """What keeps the backend servers' table current."""
+        return self._servers.follower
+
     def list_work(self) -> list[Coroutine[Any, Any, None]]:
         """Return what must run while the gateway does."""
         return [
-            self.settings_follower.run(),
-            self.server_follower.run(),
-            self._member_follower.run(),
+            *(table.follower.run() for table in self.followed),
             self._peer_reader.run(),
             self.snapshots.run(),
             announce(self._sources.members, self._own),
         ]
 
     def list_peers(self) -> list[str]:
-        """Return the addresses of peers to ask: those heard last, and seeds."""
-        heard = [member.host for member in self.members.list_last_seen_first()]
-        hosts = heard[:PEERS_CONSIDERED] + list(self._config.seeds)
-        own = self._config.peers.host
-        return sorted({host for host in hosts if host != own})
+        """Return the addresses of peers that may be asked for records."""
+        members = self.members.list_last_seen_first()
+        return list_candidates(
+            (member.host for member in members),
+            self._config.seeds,
+            self._config.peers.host,
+        )
 
     def remove_missing(self, now: float) -> None:
-        """Forget backend servers that have been missing long enough."""
+        """Forget backend servers whose entry is missing."""
         for server_id in self._context.directory.remove_missing(now):
             self._context.pool.drop_peer(server_id)
             self._context.decisions.note("server_gone", server=server_id)
 
-    def _relay(
-        self, replica: Replica, source: RecordSource, *, bound_s: float, pace_s: float
-    ) -> RelayedSource:
-        return RelayedSource(
+    # the tables
+
+    def _follow_settings(self, changes: RecordChanges) -> FollowedTable:
+        config = self._config
+        return self._follow_through_relays(
+            Replica("settings", changes.take_settings),
+            self._sources.settings,
+            bound_s=config.settings_bound_s,
+            interval_s=SETTINGS_INTERVAL_S,
+            wait_s=config.settings_wait_s,
+            read_cycle_s=config.settings_wait_s,
+        )
+
+    def _follow_servers(self, changes: RecordChanges) -> FollowedTable:
+        config = self._config
+        return self._follow_through_relays(
+            Replica("servers", changes.take_server),
+            self._sources.servers,
+            bound_s=config.leaving_bound_s,
+            interval_s=config.server_pace_s,
+            wait_s=SERVER_WAIT_S,
+            read_cycle_s=config.server_pace_s + SERVER_WAIT_S,
+        )
+
+    def _follow_members(self) -> FollowedTable:
+        replica = Replica("members", self._take_member)
+        follower = Follower(
+            replica,
+            self._sources.members,
+            interval_s=MEMBER_INTERVAL_S,
+            wait_s=MEMBER_WAIT_S,
+            generator=self._generator,
+        )
+        return FollowedTable(replica, follower, MEMBER_INTERVAL_S + MEMBER_WAIT_S)
+
+    def _follow_through_relays(
+        self,
+        replica: Replica,
+        source: RecordSource,
+        *,
+        bound_s: float,
+        interval_s: float,
+        wait_s: float,
+        read_cycle_s: float,
+    ) -> FollowedTable:
+        relayed = RelayedSource(
             replica.name,
             self._config.vm,
             source,
             self._config.records.port,
             self._relays.list_relays,
             times=RelayTimes.from_bound(bound_s),
-            pace_s=pace_s,
+            interval_s=interval_s,
+        )
+        follower = Follower(
+            replica,
+            relayed,
+            interval_s=interval_s,
+            wait_s=wait_s,
+            generator=self._generator,
         )
+        return FollowedTable(replica, follower, read_cycle_s)
 
-    def _take_settings(self, record: Record) -> None:
-        if record.key != self._config.settings_key:
-            return
-        context = self._context
-        try:
-            table = self._sources.decoder.decode_table(record)
-        except SettingsError as error:
-            context.decisions.note("settings_refused", reason=error.show())
-            return
-        if table is None:
-            return
-        if context.table is not None and table.version < context.version:
-            context.decisions.note("settings_older", version=table.version)
-            return
-        context.table = table
-        context.listener.limits = table.limits
-        context.decisions.note(
-            "settings_in_force",
-            version=table.version,
-            offset=record.offset,
-            routes=len(table.routes),
+    def _find_hold_end(self, now: float) -> float | None:
+        follower = self.server_follower
+        return find_hold_end(
+            reachable=follower.reachable, regained_at=follower.regained_at, now=now
         )
 
     def _take_member(self, record: Record) -> None:
         self.members.take_record(record, asyncio.get_running_loop().time())
-
-    def _take_server(self, record: Record) -> None:
-        if record.value is None:
-            self._take_vanished(record.key)
-            return
-        context = self._context
-        try:
-            server = self._sources.decoder.decode_server(record)
-        except SettingsError as error:
-            context.decisions.note("server_refused", reason=error.show())
-            return
-        known = context.directory.find(server.id)
-        before = known.server if known else None
-        context.directory.put(server)
-        if before != server:
-            context.decisions.note(
-                "server_known",
-                server=server.id,
-                service=server.service,
-                draining=server.draining,
-                offset=record.offset,
-            )
-
-    def _take_vanished(self, server_id: str) -> None:
-        now = asyncio.get_running_loop().time()
-        directory = self._context.directory
-        hold_end = self.server_follower.find_hold_end(now, LAPSE_HOLD_S)
-        if hold_end is not None:
-            directory.hold(server_id, hold_end)
-        else:
-            directory.mark_missing(server_id)
