--- /dev/null
+++ b/features/platform/store.feature
@@ -0,0 +1,28 @@
+Feature: an answer of the store that can't be read is an outage, not an end
+
+  Scenario Outline: a read that follows a position is answered with <answer>
+    Then a read after position 4 that is answered with "<answer>" finds <found>
+
+    Examples:
+      | answer                      | found                  |
+      | two records                 | offsets 4 5            |
+      | no record                   | no offset              |
+      | nothing at all              | the log unavailable    |
+      | half a head                 | the log unavailable    |
+      | an end inside a record      | the log unavailable    |
+      | an end inside a length      | the log unavailable    |
+      | an empty record             | the log unavailable    |
+      | a key longer than its record | the log unavailable   |
+      | a key that is not text      | the log unavailable    |
+      | history that was dropped    | the log trimmed to 9   |
+      | 410 with the first offset   | the log trimmed to 9   |
+      | 410 without a body          | the log unavailable    |
+
+  Scenario Outline: a page of newest records is answered with <answer>
+    Then a read of the newest records that is answered with "<answer>" finds <found>
+
+    Examples:
+      | answer                      | found                  |
+      | one item                    | offsets 3              |
+      | a value that is not base64  | the log unavailable    |
+      | a page that is not JSON     | the log unavailable    |
--- /dev/null
+++ b/features/steps/platform_store_steps.py
@@ -0,0 +1,90 @@
+"""Steps: answers of the store, as the adapter reads them."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import struct
+
+from behave import then
+
+from ramppin.errors import LogTrimmedError, LogUnavailableError
+from ramppin.gateway.connection.fetch import FetchedAnswer
+from ramppin_platform.store import StoreTable
+
+
+class ScriptedFetcher:
+    """Answers every call alike."""
+
+    peer = "store"
+
+    def __init__(self, status: int, body: bytes) -> None:
+        self._answer = FetchedAnswer(status, body)
+
+    async def get(self, target: str, *, timeout_s: float) -> FetchedAnswer:
+        await asyncio.sleep(0)
+        return self._answer
+
+
+def pack(*records: bytes, first: int = 0) -> bytes:
+    parts = [struct.pack(">I", len(record)) + record for record in records]
+    return struct.pack(">QQ", 9, first) + b"".join(parts)
+
+
+RECORD = b"\x01kvalue"
+FIRST = json.dumps({"first": 9}).encode()
+READS = {
+    "two records": (200, pack(RECORD, RECORD)),
+    "no record": (200, pack()),
+    "nothing at all": (200, b""),
+    "half a head": (200, pack()[:8]),
+    "an end inside a record": (200, pack(RECORD, RECORD)[:-2]),
+    "an end inside a length": (200, pack(RECORD) + b"\x00\x00"),
+    "an empty record": (200, pack(b"")),
+    "a key longer than its record": (200, pack(b"\x09key")),
+    "a key that is not text": (200, pack(b"\x01\xffvalue")),
+    "history that was dropped": (200, pack(first=9)),
+    "410 with the first offset": (410, FIRST),
+    "410 without a body": (410, b""),
+}
+
+
+def build_page(value: str) -> bytes:
+    item = {"key_file": "k", "value": value, "offset": 3}
+    return json.dumps({"items": [item], "end": 4}).encode()
+
+
+PAGES = {
+    "one item": (200, build_page("dg==")),
+    "a value that is not base64": (200, build_page("d")),
+    "a page that is not JSON": (200, b"<html>"),
+}
+
+
+async def show(work) -> str:
+    try:
+        batch = await work
+    except LogTrimmedError as error:
+        return f"the log trimmed to {error.first}"
+    except LogUnavailableError:
+        return "the log unavailable"
+    offsets = " ".join(str(record.offset) for record in batch.records)
+    return f"offsets {offsets}" if offsets else "no offset"
+
+
+@then(
+    'a read after position {position:d} that is answered with "{answer}" finds {found}'
+)
+def step_read(context, position, answer, found):
+    table = StoreTable(ScriptedFetcher(*READS[answer]), "topic")
+    shown = context.loop.run_until_complete(
+        show(table.read_after(position, wait_s=0.0))
+    )
+    assert shown == found, shown
+
+
+@then('a read of the newest records that is answered with "{answer}" finds {found}')
+def step_newest(context, answer, found):
+    table = StoreTable(ScriptedFetcher(*PAGES[answer]), "topic")
+    shown = context.loop.run_until_complete(show(table.read_newest(timeout_s=1.0)))
+    assert shown == found, shown
