--- a/features/gateway_support.py
+++ b/features/gateway_support.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import json
+import logging
 import os
 import tempfile
 from dataclasses import dataclass, field
@@ -175,6 +176,35 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
+class LineKeeper(logging.Handler):
+    """Keeps the lines of the process's own log."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.lines: list[str] = []
+
+    def emit(self, record: logging.LogRecord) -> None:
+        self.lines.append(record.getMessage())
+
+
+def keep_lines(context) -> LineKeeper:
+    """Keep the lines that the product logs until the scenario ends."""
+    keeper = context.kept = LineKeeper()
+    loggers = [logging.getLogger(name) for name in ("ramppin", "ramppin_platform")]
+    levels = [logger.level for logger in loggers]
+    for logger in loggers:
+        logger.addHandler(keeper)
+        logger.setLevel(logging.INFO)
+
+    async def stop() -> None:
+        for logger, level in zip(loggers, levels, strict=True):
+            logger.removeHandler(keeper)
+            logger.setLevel(level)
+
+    context.cleanups.append(stop)
+    return keeper
+
+
 @dataclass
 class GatewayFixture:
     """A gateway before scripted backend servers.
--- a/features/platform/store.feature
+++ b/features/platform/store.feature
@@ -18,6 +18,27 @@
       | 410 with the first offset   | the log trimmed to 9   |
       | 410 without a body          | the log unavailable    |
 
+  Scenario Outline: a route whose type is <type> is sent <sent>
+    When a configuration with a route of the type "<type>" is decoded
+    Then its requests are sent "<sent>"
+    And of the type "<type>" the log tells <told>
+
+    Examples:
+      | type           | sent       | told    |
+      | idempotent     | repeatable | nothing |
+      | non_idempotent | once       | nothing |
+      | idempotant     | once       | of it   |
+
+  Scenario Outline: lines of the settings file that are not settings: <line>
+    Then a settings file with the line "<line>" has <count> skipped lines
+
+    Examples:
+      | line             | count |
+      | zone=porto       | 0     |
+      | unknown.field=   | 0     |
+      | # a comment      | 0     |
+      | zone: porto      | 1     |
+
   Scenario Outline: a page of newest records is answered with <answer>
     Then a read of the newest records that is answered with "<answer>" finds <found>
 
--- a/features/steps/platform_store_steps.py
+++ b/features/steps/platform_store_steps.py
@@ -5,11 +5,17 @@
 import asyncio
 import json
 import struct
+import tempfile
 
-from behave import then
+from behave import then, when
 
+from features.gateway_support import keep_lines
+from features.platform_support import build_config
 from ramppin.errors import LogTrimmedError, LogUnavailableError
 from ramppin.gateway.connection.fetch import FetchedAnswer
+from ramppin.gateway.process.recovery.replica import Record
+from ramppin_platform.records import PlatformDecoder
+from ramppin_platform.settings import PlatformSettings
 from ramppin_platform.store import StoreTable
 
 
@@ -88,3 +94,32 @@
     table = StoreTable(ScriptedFetcher(*PAGES[answer]), "topic")
     shown = context.loop.run_until_complete(show(table.read_newest(timeout_s=1.0)))
     assert shown == found, shown
+
+
+@when('a configuration with a route of the type "{kind}" is decoded')
+def step_decode(context, kind):
+    keep_lines(context)
+    config = build_config()
+    config["routes"][0]["type"] = kind
+    record = Record("config", json.dumps(config).encode(), 0)
+    context.routing = PlatformDecoder().decode_table(record)
+
+
+@then('its requests are sent "{sent}"')
+def step_sent(context, sent):
+    assert context.routing.routes[0].kind.value == sent
+
+
+@then('of the type "{kind}" the log tells {told}')
+def step_told(context, kind, told):
+    found = any(repr(kind) in line for line in context.kept.lines)
+    assert found is {"of it": True, "nothing": False}[told], context.kept.lines
+
+
+@then('a settings file with the line "{line}" has {count:d} skipped lines')
+def step_skipped(context, line, count):
+    with tempfile.NamedTemporaryFile("w", suffix=".conf") as file:
+        file.write(f"node_name=vm-1\n\n{line}\n")
+        file.flush()
+        settings = PlatformSettings.read(file.name)
+    assert settings.skipped_lines == ((3,) if count else ())
--- a/src/ramppin/cli.py
+++ b/src/ramppin/cli.py
@@ -101,7 +101,7 @@
         case Success(found):
             if caller_port is not None:
                 found = found.model_copy(update={"caller_port": caller_port})
-            start_logging(found.vm, log_level)
+            start_logging(found.vm, log_level, limit_repeats=True)
             asyncio.run(_run_gateway(found))
         case Failure(error):
             _exit(error)
--- a/src/ramppin/gateway/connection/datagrams.py
+++ b/src/ramppin/gateway/connection/datagrams.py
@@ -76,16 +76,17 @@
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Decode a message; drop what is none."""
+        """Decode a message; drop anything else."""
         try:
             hints = _DECODER.decode(data)
         except msgspec.MsgspecError:
-            LOG.debug("no message of ours", extra={"peer": addr[0]})
+            LOG.info("a datagram is not a hint, dropped", extra={"peer": addr[0]})
             return
         self._take(hints, addr[0])
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore what the network reports: hints may be lost."""
+        """Log what the network reports; hints may be lost."""
+        LOG.info("a datagram was not delivered: %s", exc, extra={"step": "hints"})
 
     def send(self, hints: PeerHints, hosts: list[str], port: int) -> None:
         """Send a message to several VMs."""
--- a/src/ramppin/gateway/connection/upstream.py
+++ b/src/ramppin/gateway/connection/upstream.py
@@ -100,6 +100,7 @@
         self._transport = transport
         raw = transport.get_extra_info("socket")
         if raw is not None:
+            # Only a limit for dead peers: a connection without it works as well.
             with contextlib.suppress(OSError):
                 raw.setsockopt(
                     socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 import random
 from collections.abc import Callable
 from dataclasses import replace
@@ -41,6 +42,8 @@
 MAX_LOGGED_BYTES = 100
 ResponderBuilder = Callable[[CallerConnection], Responder]
 
+LOG = logging.getLogger(__name__)
+
 
 class Gateway:
     """A gateway process.
@@ -124,7 +127,9 @@
             config.vm, link, link.port, self.tables.members, self.homes
         )
         for work in (*self.tables.list_work(), self._hints.run(), self._sweep()):
-            self._background.append(asyncio.create_task(work))
+            task = asyncio.create_task(work)
+            task.add_done_callback(_log_end)
+            self._background.append(task)
         ports = {name: self._find_port(name) for name in self._servers}
         self.context.decisions.note("started", peers=link.port, **ports)
 
@@ -253,3 +258,9 @@
                 refilled_at = now
                 context.decisions.refill()
             context.decisions.flush()
+
+
+def _log_end(task: asyncio.Task[None]) -> None:
+    """Log a task that should have run on, or failed."""
+    if not task.cancelled() and task.exception() is not None:
+        LOG.error("a background task failed", exc_info=task.exception())
--- a/src/ramppin/gateway/process/recovery/filewatch.py
+++ b/src/ramppin/gateway/process/recovery/filewatch.py
@@ -41,5 +41,6 @@
         try:
             found = self._path.stat()
         except OSError:
+            # A file that is gone counts as changed; whoever reads it says why.
             return 0, 0
         return found.st_mtime_ns, found.st_size
--- a/src/ramppin/gateway/process/reporting/decisions.py
+++ b/src/ramppin/gateway/process/reporting/decisions.py
@@ -1,21 +1,33 @@
 """Decision lines: one line of JSON for each decision that touches a request.
 
-Lines are collected and written by a timer, so that no request waits for the
-writer; past a rate lines are dropped and counted, successes before failures.
+Lines are collected and written by a timer, so that no request waits for whoever
+reads them. Past a rate, and past what a slow reader leaves unwritten, lines are
+dropped and counted; the count is a line of its own (``lines_dropped``).
+
+Owns the lines that are not written yet.
 """
 
 from __future__ import annotations
 
 import json
+import logging
 import os
 import sys
 import time
 
+LOG = logging.getLogger(__name__)
+
 LINES_PER_S = 60
-"""Lines about answered requests that are kept each second."""
+"""Lines about answered requests that are kept each second: a sample of them. Chosen
+with the first version; no run varied it."""
 
 FAILURE_LINES_PER_S = 200
-"""Lines about anything else that are kept each second."""
+"""Lines about anything else that are kept each second. Chosen with the first version;
+no run varied it."""
+
+MAX_UNWRITTEN_BYTES = 256 * 1024
+"""Bytes that wait for a slow reader: about three seconds of lines at both rates, of
+350 bytes each."""
 
 
 class DecisionLog:
@@ -23,7 +35,7 @@
 
     Args:
         vm: name of the VM, in each line.
-        descriptor: where lines are written.
+        descriptor: where lines are written; standard output if not given.
 
     .. versionadded:: 0.2
     """
@@ -63,7 +75,7 @@
         self._others_left = FAILURE_LINES_PER_S
 
     def flush(self) -> None:
-        """Write what was collected; what the reader won't take is kept once."""
+        """Write what was collected; keep what the reader does not take yet."""
         data = self._unwritten + "".join(self._lines).encode()
         self._lines.clear()
         if not data:
@@ -72,9 +84,20 @@
             written = os.write(self._descriptor, data)
         except BlockingIOError:
             written = 0
-        except OSError:
+        except OSError as error:
+            lost = data.count(b"\n")
+            self._dropped += lost
+            LOG.warning("%d decision lines could not be written: %s", lost, error)
             written = len(data)
-        self._unwritten = data[written:][: 256 * 1024]
+        self._unwritten = self._trim(data[written:])
+
+    def _trim(self, data: bytes) -> bytes:
+        """Return the oldest whole lines within the limit; count the others."""
+        if len(data) <= MAX_UNWRITTEN_BYTES:
+            return data
+        end = data.rfind(b"\n", 0, MAX_UNWRITTEN_BYTES) + 1
+        self._dropped += data.count(b"\n", end)
+        return data[:end]
 
     def _append(self, event: str, fields: dict[str, object]) -> None:
         line = {"time": round(time.time(), 3), "vm": self._vm, "event": event}
--- a/src/ramppin/gateway/request/attempt.py
+++ b/src/ramppin/gateway/request/attempt.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 from collections.abc import Callable
 
 from ramppin.errors import BrokenAnswerError, NotSentError, ProtocolError
@@ -40,6 +41,8 @@
 """Seconds between two looks at whether the server is unresponsive; a quarter of the
 time after which it is (commit 11cf491)."""
 
+LOG = logging.getLogger(__name__)
+
 _LENGTH = frozenset({b"content-length"})
 
 
@@ -308,3 +311,9 @@
         numbers = report.split(b",")
         if len(numbers) >= 2 and numbers[0].isdigit() and numbers[1].isdigit():
             self._state.note_load(int(numbers[0]), int(numbers[1]), self._loop.time())
+            return
+        LOG.warning(
+            "a load report is not RUNNING,WAITING and is ignored: %.40r",
+            report,
+            extra={"peer": self._state.id, "step": "answer"},
+        )
