--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -39,7 +39,7 @@
 from ramppin.gateway.request.exchange import ExchangeResponder
 
 SWEEP_S = 0.25
-"""Seconds between two looks at idle connections, missing servers and lines to write:
+"""Seconds between two checks of idle connections, missing servers and lines to write:
 short beside the times that they are measured against."""
 
 REFILL_S = 1.0
--- a/src/ramppin/gateway/process/limits/drain.py
+++ b/src/ramppin/gateway/process/limits/drain.py
@@ -13,7 +13,7 @@
 from ramppin.gateway.connection.callerwire import ListenerState
 
 POLL_S = 0.05
-"""Seconds between two looks at whether every connection has ended."""
+"""Seconds between two checks of whether every connection has ended."""
 
 SETTLE_S = 2.3
 """Seconds until the balancer has noticed: it asks each VM once a second and gives it no
--- a/src/ramppin/gateway/process/recovery/filetables.py
+++ b/src/ramppin/gateway/process/recovery/filetables.py
@@ -27,7 +27,7 @@
 )
 
 POLL_S = 0.2
-"""Seconds between two looks at whether the file changed."""
+"""Seconds between two checks of whether the file changed."""
 
 ROUTING_PART = "routing"
 SERVERS_PART = "backend_servers"
--- a/src/ramppin/gateway/process/recovery/filewatch.py
+++ b/src/ramppin/gateway/process/recovery/filewatch.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 PERIOD_S = 1.0
-"""Seconds between two looks at the file."""
+"""Seconds between two checks of the file."""
 
 
 class FileWatch:
--- a/src/ramppin/gateway/process/recovery/peerreader.py
+++ b/src/ramppin/gateway/process/recovery/peerreader.py
@@ -28,7 +28,7 @@
 LOG = logging.getLogger(__name__)
 
 ASK_INTERVAL_S = 0.3
-"""Seconds between two looks at whether a table is stale. Chosen with commit 00b5f6c;
+"""Seconds between two checks of whether a table is stale. Chosen with commit 00b5f6c;
 no run varied it."""
 
 ASK_TIMEOUT_S = 0.6
--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -20,7 +20,7 @@
 from ramppin.ranking import hash_name, mix
 
 SAME_TIME_S = 0.5
-"""Seconds within which two homes count as placed at the same time: ages are told in
+"""Seconds within which two homes count as placed at the same time: ages travel in
 messages that take a while, so the order of closer ones is not known. Chosen with
 commit 68421f8; no run varied it."""
 
--- a/src/ramppin/gateway/process/routing/homesnapshot.py
+++ b/src/ramppin/gateway/process/routing/homesnapshot.py
@@ -44,10 +44,10 @@
 """Tries to read the snapshot; after them the VM starts without one."""
 
 SERVER_CHECK_S = 0.03
-"""Seconds between two looks at whether the backend servers are known."""
+"""Seconds between two checks of whether the backend servers are known."""
 
 SERVER_CHECKS = 100
-"""Looks at whether the backend servers are known, 3 s in all; homes of servers that
+"""Checks of whether the backend servers are known, 3 s in all; homes of servers that
 are not known yet are not taken."""
 
 
--- a/src/ramppin/gateway/request/attempt.py
+++ b/src/ramppin/gateway/request/attempt.py
@@ -38,7 +38,7 @@
 varied it."""
 
 STALL_CHECK_S = 0.2
-"""Seconds between two looks at whether the server is unresponsive; a quarter of the
+"""Seconds between two checks of whether the server is unresponsive; a quarter of the
 time after which it is (commit 11cf491)."""
 
 LOG = logging.getLogger(__name__)
