--- a/Makefile
+++ b/Makefile
@@ -20,6 +20,7 @@
 lint: $(STAMP)
 	$(BIN)/ruff format --check .
 	$(BIN)/ruff check .
+	$(BIN)/vulture
 	$(BIN)/mypy
 	mkdir -p build/types && ln -sfn ../../platform build/types/ramppin_platform
 	MYPYPATH=src:build/types $(BIN)/mypy --package ramppin_platform
--- a/src/ramppin/router/connection/backends.py
+++ b/src/ramppin/router/connection/backends.py
@@ -20,7 +20,6 @@
 
 CONNECT_TIMEOUT_S = 1.0
 REPORT_TIMEOUT_S = 0.5
-CANCEL_TIMEOUT_S = 1.0
 
 HOP_BY_HOP = frozenset(
     {
--- a/src/ramppin/router/process/membership/ownership.py
+++ b/src/ramppin/router/process/membership/ownership.py
@@ -76,7 +76,6 @@
         self._clock = clock
         self._shards: list[Shard] = []
         self._tasks: set[asyncio.Task[None]] = set()
-        self._renewing = False
         events = TailEvents(
             on_record=self._apply, on_state=self._note_log, on_batch=self._refresh
         )
--- a/src/ramppin/router/process/routing/homes.py
+++ b/src/ramppin/router/process/routing/homes.py
@@ -43,7 +43,3 @@
         """Forget a chat."""
         self._young.pop(chat, None)
         self._old.pop(chat, None)
-
-    def list_all(self) -> dict[int, str]:
-        """Return all chats with their backend servers."""
-        return self._old | self._young
--- a/src/ramppin/router/request/keyed.py
+++ b/src/ramppin/router/request/keyed.py
@@ -37,8 +37,6 @@
 
 CLAIM_TIMEOUT_S = 2.0
 LOG_DOWN_RETRY_AFTER_S = 5.0
-MAX_KEPT_BODY_BYTES = 64 * 1024
-"""Largest body of an answer that is kept for repeats."""
 
 
 class KeyedRun:
--- a/src/ramppin/router/version/schema.py
+++ b/src/ramppin/router/version/schema.py
@@ -116,7 +116,8 @@
     Attributes:
         backend_servers: its members by name.
         reports_load: whether they report load and cache events.
-        honours_keys: whether they honour ``Idempotency-Key`` themselves.
+        honours_keys: accepted, without effect: claims are made in any case. Trees
+            that say it stay valid.
         rules: overrides of the fleet's rules.
     """
 
