--- a/features/gateway/decisions.feature
+++ b/features/gateway/decisions.feature
@@ -74,14 +74,14 @@
       | no event yet          | id: 1\n                             |                             | none |
 
   Scenario Outline: homes of prefixes agree in any order: <case>
-    Then homes told in any order end as "<end>" for "<case>"
+    Then homes announced in any order end as "<end>" for "<case>"
 
     Examples:
       | case                             | end     |
-      | one makes, others hear           | first   |
+      | one places, others learn it           | first   |
       | two at the same time             | higher  |
       | an older and a younger           | first   |
-      | the older has left               | second  |
+      | the older server is gone          | second  |
 
   Scenario: a server that joins moves no home
     Then 200 prefixes placed on 4 servers stay when 2 more join
@@ -105,7 +105,7 @@
       | rejected                              | suspect |
       | unreachable wait                      | in    |
       | sent silence                          | suspect |
-      | sent heard silence                    | in    |
+      | sent received silence                | in    |
 
   Scenario Outline: an entry that vanishes <when>
     Then an entry that vanishes at <now> after "<course>" is held until "<end>"
--- a/features/gateway/errors.feature
+++ b/features/gateway/errors.feature
@@ -4,7 +4,7 @@
     Given a gateway before two plain servers
     When a request is sent with <what>
     Then it is answered 200
-    And the process's own log tells "<line>"
+    And the process's own log shows "<line>"
 
     Examples:
       | what                              | line                                           |
@@ -15,7 +15,7 @@
   Scenario Outline: datagrams that are not hints are logged: <what>
     Given a gateway before two plain servers
     When the datagram "<what>" reaches the gateway
-    Then the process's own log tells "a datagram is not a hint"
+    Then the process's own log shows "a datagram is not a hint"
 
     Examples:
       | what    |
@@ -25,13 +25,13 @@
   Scenario: a background task that fails is logged
     Given a gateway before two plain servers
     When the reader of the servers fails
-    Then the process's own log tells "a background task failed"
+    Then the process's own log shows "a background task failed"
 
   Scenario: decision lines that can't be written are counted
     Given a decision log whose reader is gone
     When 50 decision lines are written
-    Then the process's own log tells "50 decision lines could not be written"
-    And the next second tells 50 dropped lines
+    Then the process's own log shows "50 decision lines could not be written"
+    And the next second counts 50 dropped lines
 
   Scenario: a slow reader gets whole lines, and how many are missing
     Given a decision log whose reader does not read
@@ -39,7 +39,7 @@
     Then the reader gets whole lines, and with those dropped they are 4000
 
   Scenario Outline: lines of one kind are limited: <lines> in <seconds> s
-    Then of <lines> lines of one kind, spread over <seconds> s, <written> are written and <suppressed> told as suppressed
+    Then of <lines> lines of one kind, spread over <seconds> s, <written> are written and <suppressed> counted as suppressed
 
     Examples:
       | lines | seconds | written | suppressed |
--- a/features/gateway/operations.feature
+++ b/features/gateway/operations.feature
@@ -3,9 +3,9 @@
   Background:
     Given a gateway before two plain servers
 
-  Scenario Outline: the <target> is told
+  Scenario Outline: the <target> is shown
     When through the gateway a caller sends 5 requests to "/once/" on one connection
-    Then "<target>" tells "<text>"
+    Then "<target>" shows "<text>"
 
     Examples:
       | target      | text                                                                  |
@@ -18,15 +18,15 @@
       | /dump       | "failure_domain"                                                      |
       | /explain/r4 | "end": "delivered"                                                    |
 
-  Scenario: no key of a caller is told
+  Scenario: no key of a caller is shown
     When through the gateway a caller sends 5 requests to "/once/" on one connection
-    Then neither "/dump" nor "/metrics" nor "/explain/r4" tells "key-choir"
+    Then neither "/dump" nor "/metrics" nor "/explain/r4" shows "key-choir"
 
   Scenario Outline: three kinds of failed request lead to their cause: <script>
     Given backend servers that answer by "<script>"
     When through the gateway a caller sends a request to "<route>"
-    Then "/explain/a1" tells "<text>"
-    And the log's lines about "a1" tell "<text>"
+    Then "/explain/a1" shows "<text>"
+    And the log's lines about "a1" show "<text>"
 
     Examples:
       | script   | route   | text                  |
--- a/features/gateway/relays.feature
+++ b/features/gateway/relays.feature
@@ -9,8 +9,8 @@
       | a1 a2 a3 a4 b1 b2             |        |
       | a1 a2 a3 a4*9 a5*5            | a4 a5  |
       | a1*7 a2 a3*8 a4 a5            | a3 a1  |
-      | a1 a2 a3 a4 a5*9:silent       |        |
-      | a1 a2 a3 a4*4 a5*3 a6:silent  | a4 a5  |
+      | a1 a2 a3 a4 a5*9:lost       |        |
+      | a1 a2 a3 a4*4 a5*3 a6:lost  | a4 a5  |
 
   Scenario: a VM reads from a relay, and not from the log
     Given a gateway before two plain servers
@@ -55,8 +55,8 @@
       | 8     | 1.2   | 2.0      |
 
   Scenario Outline: heartbeats stay bounded in any fleet: <vms>
-    Then among "<vms>" the VM "a1" tells near VMs each <near> s
-    And among "<vms>" the VM "a1" tells far VMs each <far> s
+    Then among "<vms>" the VM "a1" sends heartbeats to near VMs each <near> s
+    And among "<vms>" the VM "a1" sends heartbeats to far VMs each <far> s
 
     Examples:
       | vms                      | near | far |
--- a/features/gateway/stops.feature
+++ b/features/gateway/stops.feature
@@ -5,24 +5,24 @@
 
   Scenario: not ready at once, requests in flight end, the process ends
     Given backend servers that answer by "on demand"
-    When a caller has a request in flight and the gateway is told to stop
+    When a caller has a request in flight and the gateway begins a planned stop
     Then it is not ready
     And the request in flight is answered whole with a request to close
     And the gateway stops
 
   Scenario: a request that can't end in time is refused with when to come back
     Given backend servers that answer by "on demand"
-    When a caller has a request in flight and the gateway was told to stop long ago
+    When a caller has a request in flight and the gateway began a planned stop long ago
     Then a new request to "/once/" is refused with when to come back
     And a new request to "/brief/" is taken
 
   Scenario: a connection that was just opened may send its request
     Given backend servers that answer by "on demand"
-    When a caller has a request in flight and the gateway was told to stop long ago
+    When a caller has a request in flight and the gateway began a planned stop long ago
     Then a request on a connection opened 4 polls ago gets an answer
 
   Scenario Outline: which resting connections a late stop closes: <age> s old
-    Then a connection of <age> s that rests is <fate> 3 s after the stop
+    Then a connection of <age> s that is idle is <fate> 3 s after the stop
 
     Examples:
       | age  | fate   |
@@ -33,6 +33,6 @@
 
   Scenario: idle connections are closed, not cut
     Given a caller with an open connection
-    When the gateway is told to stop
+    When the gateway begins a planned stop
     Then the open connection is closed by the gateway
     And the gateway stops
--- a/features/gateway/streams.feature
+++ b/features/gateway/streams.feature
@@ -46,4 +46,4 @@
   Scenario: a caller that does not read holds the server up
     Given backend servers that answer by "endless"
     When a caller begins a stream on "/stream/" and does not read
-    Then the backend server is held up before 8000000 bytes
+    Then the backend server is paused, with less than 400000 bytes in the gateway
--- a/features/gateway/wire.feature
+++ b/features/gateway/wire.feature
@@ -137,26 +137,26 @@
     When through the gateway a caller sends 3 requests to "/again/" at once on one connection
     Then each answer is 200 with its own id
 
-  Scenario Outline: a refusal tells when to come back only where nothing ran: <script>
+  Scenario Outline: a refusal says when to come back only where nothing ran: <script>
     Given backend servers that answer by "<script>"
     When through the gateway a caller sends a request to "/once/"
-    Then the answer <tells> when to come back
+    Then the answer <says> when to come back
 
     Examples:
-      | script   | tells         |
-      | rejected | tells         |
-      | reset    | does not tell |
+      | script   | says          |
+      | rejected | says          |
+      | reset    | does not say  |
 
   Scenario: a rejection after a run is no promise that nothing ran
     Given backend servers that answer by "reset then rejected"
     And a budget of 1 retry
     When through the gateway a caller sends a request to "/again/"
     Then the answer is 502
-    And the answer does not tell when to come back
+    And the answer does not say when to come back
 
-  Scenario: a caller that leaves ends the work of its backend server
+  Scenario: a caller that disconnects ends the work of its backend server
     Given backend servers that answer by "silent"
-    When through the gateway a caller sends a request to "/once/" and leaves
+    When through the gateway a caller sends a request to "/once/" and disconnects
     Then a backend server sees its connection close
 
   Scenario: an unreachable server is passed over without a run
--- a/features/platform/adapter.feature
+++ b/features/platform/adapter.feature
@@ -18,7 +18,7 @@
       | /s/x  | k1  | 503    |
 
   Scenario: a stream is continued at another engine
-    Given the platform with two engines that break off and a gateway process
+    Given the platform with two engines that cut their streams and a gateway process
     When a stream on "/s/x" is sent with the key "k1"
     Then its answer is 200
     And it holds the events 1 to 4 once each
@@ -84,7 +84,7 @@
   Scenario Outline: a changed settings file is heeded <how>
     Given the platform with a plain server and a gateway process
     When the settings file says grace_s 3 and the process <how>
-    Then the log soon tells "drain_limit_s":2.5
+    Then the log soon shows "drain_limit_s":2.5
 
     Examples:
       | how            |
@@ -94,5 +94,5 @@
   Scenario: a settings file that became unusable changes nothing
     Given the platform with a plain server and a gateway process
     When the settings file says grace_s soon and the process gets SIGHUP
-    Then the log soon tells bounds.grace_s
+    Then the log soon shows bounds.grace_s
     And requests with the key "k1" are still answered 200
--- a/features/platform/store.feature
+++ b/features/platform/store.feature
@@ -21,10 +21,10 @@
   Scenario Outline: a route whose type is <type> is sent <sent>
     When a configuration with a route of the type "<type>" is decoded
     Then its requests are sent "<sent>"
-    And of the type "<type>" the log tells <told>
+    And of the type "<type>" the log says <said>
 
     Examples:
-      | type           | sent       | told    |
+      | type           | sent       | said    |
       | idempotent     | repeatable | nothing |
       | non_idempotent | once       | nothing |
       | idempotant     | once       | of it   |
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -117,21 +117,21 @@
 
 
 HOME_CASES = {
-    "one makes, others hear": [("first", 0.2)],
+    "one places, others learn it": [("first", 0.2)],
     "two at the same time": [("first", 1.0), ("second", 1.2)],
     "an older and a younger": [("first", 9.0), ("second", 1.0)],
-    "the older has left": [("gone", 9.0), ("second", 1.0)],
+    "the older server is gone": [("gone", 9.0), ("second", 1.0)],
 }
 
 
-@then('homes told in any order end as "{end}" for "{case}"')
+@then('homes announced in any order end as "{end}" for "{case}"')
 def step_homes(context, end, case):
     key = 12345
-    told = HOME_CASES[case]
+    announced = HOME_CASES[case]
     if end == "higher":
-        names = [server for server, _ in told]
+        names = [server for server, _ in announced]
         end = max(names, key=lambda server: mix(key, hash_name(server)))
-    for order in itertools.permutations(told):
+    for order in itertools.permutations(announced):
         homes = build_homes({"first", "second"})
         for server, age_s in order:
             homes.take_notice(HomeNotice(key, server, age_s), 100.0)
@@ -258,7 +258,7 @@
             now += 10.0
         elif outcome == "sent":
             health.note_sent(now)
-        elif outcome == "heard":
+        elif outcome == "received":
             health.note_received(now, awaited=False)
         elif outcome == "silence":
             now += UNRESPONSIVE_AFTER_S + 0.1
--- a/features/steps/gateway_error_steps.py
+++ b/features/steps/gateway_error_steps.py
@@ -22,7 +22,7 @@
     return context.loop.run_until_complete(work)
 
 
-@then('the process\'s own log tells "{text}"')
+@then('the process\'s own log shows "{text}"')
 def step_own_log(context, text):
     def is_told() -> bool:
         return any(text in line for line in context.kept.lines)
@@ -112,7 +112,7 @@
     context.decisions.flush()
 
 
-@then("the next second tells {count:d} dropped lines")
+@then("the next second counts {count:d} dropped lines")
 def step_dropped(context, count):
     context.decisions.refill()
     line = json.loads(context.decisions._lines[0])
@@ -146,7 +146,7 @@
 
 @then(
     "of {lines:d} lines of one kind, spread over {seconds:d} s, {written:d} are "
-    "written and {suppressed:d} told as suppressed"
+    "written and {suppressed:d} counted as suppressed"
 )
 def step_limit(context, lines, seconds, written, suppressed):
     now = 0.0
--- a/features/steps/gateway_operation_steps.py
+++ b/features/steps/gateway_operation_steps.py
@@ -21,20 +21,20 @@
     return data.decode()
 
 
-@then('"{target}" tells "{text}"')
+@then('"{target}" shows "{text}"')
 def step_tells(context, target, text):
     answer = run(context, ask(context, target))
     assert " 200 " in answer.splitlines()[0], answer
     assert text in answer or text in answer.replace('": "', '":"'), answer
 
 
-@then('neither "{first}" nor "{second}" nor "{third}" tells "{text}"')
+@then('neither "{first}" nor "{second}" nor "{third}" shows "{text}"')
 def step_none(context, first, second, third, text):
     for target in (first, second, third):
         assert text not in run(context, ask(context, target))
 
 
-@then('the log\'s lines about "{request_id}" tell "{text}"')
+@then('the log\'s lines about "{request_id}" show "{text}"')
 def step_log(context, request_id, text):
     context.fixture.gateway.context.decisions.flush()
     lines = context.fixture.log_path.read_text().splitlines()
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -30,7 +30,7 @@
 
 
 def read_record(text: str) -> tuple[Record, float]:
-    """Read ``NAME[*WEIGHT][:silent]``; the letter is the failure domain."""
+    """Read ``NAME[*WEIGHT][:lost]``; the letter is the failure domain."""
     name, _, silent = text.partition(":")
     name, _, weight = name.partition("*")
     entry = MemberRecord(name, name[0], float(weight or 1))
@@ -53,7 +53,7 @@
     assert [member.vm for member in found] == relays, found
 
 
-@then('among "{vms}" the VM "{own}" tells {which} VMs each {period:g} s')
+@then('among "{vms}" the VM "{own}" sends heartbeats to {which} VMs each {period:g} s')
 def step_heartbeat(context, vms, own, which, period):
     members = build_members(own, expand(vms))
     found = members.choose_heartbeat_s(near=which == "near")
--- a/features/steps/gateway_wire_steps.py
+++ b/features/steps/gateway_wire_steps.py
@@ -599,12 +599,12 @@
         assert b"surplus" not in answer.data
 
 
-@then("the answer {tells} when to come back")
-def step_tells(context, tells):
-    assert (b"retry-after:" in context.answer.head) == (tells == "tells")
+@then("the answer {says} when to come back")
+def step_tells(context, says):
+    assert (b"retry-after:" in context.answer.head) == (says == "says")
 
 
-@when('through the gateway a caller sends a request to "{route}" and leaves')
+@when('through the gateway a caller sends a request to "{route}" and disconnects')
 def step_leave(context, route):
     async def leave():
         caller = await context.fixture.connect()
@@ -685,15 +685,21 @@
     run(context, begin())
 
 
-@then("the backend server is held up before {limit:d} bytes")
-def step_held_up(context, limit):
+@then("the backend server is paused, with less than {limit:d} bytes in the gateway")
+def step_paused(context, limit):
+    # What the kernel's buffers take differs from machine to machine (up to 32 MB each);
+    # what the gateway keeps itself does not.
+    listener = context.fixture.gateway.context.listener
+
     async def settle():
         before, same = -1, 0
         while same < 20:
             await asyncio.sleep(0.02)
             same = same + 1 if context.scripts.sent == before else 0
             before = context.scripts.sent
-            assert before < limit, before
+            for connection in listener.connections:
+                size = connection._transport.get_write_buffer_size()
+                assert size < limit, size
 
     run(context, settle())
     assert context.scripts.sent > 0
@@ -719,7 +725,7 @@
     await wait_for(context.fixture.list_received, "the request arrived")
 
 
-@when("a caller has a request in flight and the gateway is told to stop")
+@when("a caller has a request in flight and the gateway begins a planned stop")
 def step_in_flight_stop(context):
     async def stop():
         await begin_request(context)
@@ -728,7 +734,7 @@
     run(context, stop())
 
 
-@when("a caller has a request in flight and the gateway was told to stop long ago")
+@when("a caller has a request in flight and the gateway began a planned stop long ago")
 def step_in_flight_long_ago(context):
     async def stop():
         await begin_request(context)
@@ -742,7 +748,7 @@
     run(context, stop())
 
 
-@then("a connection of {age:g} s that rests is {fate} {passed:g} s after the stop")
+@then("a connection of {age:g} s that is idle is {fate} {passed:g} s after the stop")
 def step_resting(context, age, fate, passed):
     times = DrainTimes(settle_s=2.3, fresh_s=0.5)
     drain = Drain(times, started=0.0)
@@ -812,7 +818,7 @@
     assert answer.status == 200, answer.data
 
 
-@when("the gateway is told to stop")
+@when("the gateway begins a planned stop")
 def step_stop(context):
     async def stop():
         context.fixture.gateway.start_drain()
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -53,7 +53,7 @@
     context.platform = run(context, start_platform(context, services, page=page))
 
 
-@given("the platform with two engines that break off and a gateway process")
+@given("the platform with two engines that cut their streams and a gateway process")
 def step_engines(context):
     async def abort(reply):
         after = int(reply.request.headers.get(b"last-event-id", b"0"))
@@ -215,7 +215,7 @@
         context.platform.processes["vm-1"].send_signal(signal.SIGHUP)
 
 
-@then("the log soon tells {text}")
+@then("the log soon shows {text}")
 def step_log(context, text):
     path = context.platform.find_log("vm-1")
     run(context, wait_for(lambda: text in path.read_text(), f"{text} in the log"))
--- a/features/steps/platform_store_steps.py
+++ b/features/steps/platform_store_steps.py
@@ -110,10 +110,10 @@
     assert context.routing.routes[0].kind.value == sent
 
 
-@then('of the type "{kind}" the log tells {told}')
-def step_told(context, kind, told):
+@then('of the type "{kind}" the log says {said}')
+def step_told(context, kind, said):
     found = any(repr(kind) in line for line in context.kept.lines)
-    assert found is {"of it": True, "nothing": False}[told], context.kept.lines
+    assert found is {"of it": True, "nothing": False}[said], context.kept.lines
 
 
 @then('a settings file with the line "{line}" has {count:d} skipped lines')
