--- a/features/gateway/rules.feature
+++ b/features/gateway/rules.feature
@@ -147,6 +147,49 @@
       | ejected unresponsive           | none  | s0 s1    |
       | ejected healthy                | s1    | s0       |
 
+  Scenario Outline: the server of a prompt: loads <loads>, home <home>, tried <tried>
+    Then with loads "<loads>", home "<home>" and "<tried>" tried a prompt goes to "<chosen>" as rank <rank>, copied from "<source>", and its home is "<after>"
+
+    Examples:
+      | loads     | home  | tried        | chosen | rank | source | after  |
+      | 0 0 0 0   | none  | none         | first  | 1    | none   | first  |
+      | 3 1 0 0   | none  | none         | second | 2    | none   | second |
+      | 1 3 0 0   | none  | none         | first  | 1    | none   | first  |
+      | 9 9 0 0   | none  | none         | first  | 1    | none   | first  |
+      | 30 0 0 0  | none  | none         | second | 2    | none   | second |
+      | 0 0 0 0   | third | none         | third  | 0    | none   | third  |
+      | 0 0 6 0   | third | none         | first  | 1    | third  | third  |
+      | 2 2 6 2   | third | none         | third  | 0    | none   | third  |
+      | 9 0 0 0   | first | none         | second | 2    | first  | first  |
+      | 0 0 0 0   | first | first        | second | 1    | first  | first  |
+      | 30 31 0 0 | none  | third fourth | first  | 1    | none   | none   |
+      | 31 30 0 0 | none  | third fourth | second | 2    | none   | none   |
+
+  Scenario Outline: the server of a request without a prefix: <servers>
+    Then among servers "<servers>" a request without a prefix goes to <chosen>
+
+    Examples:
+      | servers              | chosen |
+      | near:2 far:2         | s0     |
+      | near:3 far:2         | s0 s1  |
+      | near:4 far:2         | s1     |
+      | near:1 near:0 far:0  | s1     |
+      | far:1 far:0          | s1     |
+      | near:1 near:1        | s0 s1  |
+
+  Scenario Outline: a server's load: <reported> reported with <then> in flight, now <now>, <age> s later
+    Then a load of <reported> reported with <then> in flight counts as <load> with <now> in flight <age> s later
+
+    Examples:
+      | reported | then | now | age | load |
+      | 5        | 2    | 2   | 1.0 | 5    |
+      | 5        | 2    | 4   | 1.0 | 7    |
+      | 5        | 2    | 0   | 1.0 | 3    |
+      | 0        | 3    | 3   | 1.0 | 3    |
+      | 5        | 2    | 2   | 4.0 | 5    |
+      | 5        | 2    | 2   | 4.1 | 2    |
+      | none     | 0    | 3   | 1.0 | 3    |
+
   Scenario Outline: a connection idle for <idle> s, a route that is <kind>, <announced> announced
     Then a connection idle for <idle> s on a "<kind>" route with <announced> announced is used: <used>
 
--- a/features/steps/gateway_rule_steps.py
+++ b/features/steps/gateway_rule_steps.py
@@ -29,6 +29,11 @@
 from ramppin.gateway.process.routing.directory import BackendServer, ServerState
 from ramppin.gateway.process.routing.eligibility import list_eligible
 from ramppin.gateway.process.routing.homes import HomeNotice, PrefixHomes
+from ramppin.gateway.process.routing.selection import (
+    NearestSelection,
+    PrefixSelection,
+    SelectionRequest,
+)
 from ramppin.gateway.request.admission import (
     Admission,
     Denial,
@@ -58,7 +63,7 @@
     choose_service,
 )
 from ramppin.gateway.version.routingfile import TreeDecoder
-from ramppin.ranking import hash_name, mix
+from ramppin.ranking import RendezvousRanking, hash_name, mix
 
 NAMES = HeaderNames()
 NOW = 100.0
@@ -314,6 +319,69 @@
     assert " ".join(state.id for state in found) == eligible.replace("none", "")
 
 
+ORDER = ("first", "second", "third", "fourth")
+"""Servers of the prompt's prefix in their order by hash."""
+
+PREFIX = 77
+
+
+def build_server(
+    server_id: str, load: int, failure_domain: str = "", service: str = "plain"
+) -> ServerState:
+    state = ServerState(
+        BackendServer(server_id, service, "127.0.0.1", 1, failure_domain)
+    )
+    state.in_flight = load
+    return state
+
+
+@then(
+    'with loads "{loads}", home "{home}" and "{tried}" tried a prompt goes to '
+    '"{chosen}" as rank {rank:d}, copied from "{source}", and its home is "{after}"'
+)
+def step_prompt(context, loads, home, tried, chosen, rank, source, after):
+    ids = RendezvousRanking().rank(PREFIX, [f"s{n}" for n in range(len(ORDER))])
+    by_name = dict(zip(ORDER, ids, strict=True)) | {"none": None}
+    states = [
+        build_server(by_name[name], int(load))
+        for name, load in zip(ORDER, loads.split(), strict=True)
+    ]
+    homes = PrefixHomes(lambda server: True)
+    if home != "none":
+        homes.note_placed(PREFIX, by_name[home], NOW)
+    excluded = frozenset(by_name[name] for name in read_names(tried))
+    request = SelectionRequest(PREFIX, excluded)
+    selection = PrefixSelection(homes).choose(request, states, NOW)
+    found = (selection.state.id, selection.rank, selection.copy_from)
+    assert found == (by_name[chosen], rank, by_name[source]), (found, by_name)
+    assert homes.find(PREFIX) == by_name[after]
+
+
+@then('among servers "{servers}" a request without a prefix goes to {chosen}')
+def step_plain_choice(context, servers, chosen):
+    states = []
+    for number, text in enumerate(servers.split()):
+        place, _, load = text.partition(":")
+        states.append(build_server(f"s{number}", int(load), place))
+    found = set()
+    for seed in range(40):
+        strategy = NearestSelection("near", generator=random.Random(seed))
+        found.add(strategy.choose(SelectionRequest(), states, NOW).state.id)
+    assert found == set(chosen.split()), found
+
+
+@then(
+    "a load of {reported} reported with {then_:d} in flight counts as {load:d} "
+    "with {now:d} in flight {age:g} s later"
+)
+def step_load(context, reported, then_, load, now, age):
+    state = build_server("s0", then_)
+    if reported != "none":
+        state.note_load(int(reported), 0, NOW)
+    state.in_flight = now
+    assert state.estimate_load(NOW + age) == load
+
+
 def read_number(text: str) -> float | None:
     return None if text == "none" else float(text.removesuffix(" s"))
 
