--- a/src/ramppin/ranking.py
+++ b/src/ramppin/ranking.py
@@ -12,7 +12,11 @@
 import xxhash
 
 _MASK = (1 << 64) - 1
+"""Keeps a product within 64 bits."""
+
 _MULTIPLIER = 0x9E3779B97F4A7C15
+"""2**64 over the golden ratio, as an odd number: Fibonacci hashing (Knuth, The Art of
+Computer Programming, volume 3, section 6.4)."""
 
 
 def hash_name(name: str) -> int:
--- a/src/ramppin/router/connection/backends.py
+++ b/src/ramppin/router/connection/backends.py
@@ -19,7 +19,13 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0
+"""Seconds for a connection to a backend server to come up. Chosen with the first
+version; no run on record."""
+
 REPORT_TIMEOUT_S = 0.5
+"""Seconds that a read of a backend server's load may take. Chosen with the first
+version; no run on record."""
+
 
 HOP_BY_HOP = frozenset(
     {
--- a/src/ramppin/router/connection/links.py
+++ b/src/ramppin/router/connection/links.py
@@ -37,9 +37,19 @@
 LOG = logging.getLogger(__name__)
 
 PING_INTERVAL_S = 1.0
+"""Seconds between two pings of a link. Chosen with the first version; no run on
+record."""
+
 PING_TIMEOUT_S = 1.0
+"""Seconds without a pong after which a link is down. Chosen with the first version; no
+run on record."""
+
 OPEN_TIMEOUT_S = 1.0
+"""Seconds for a link to open. Chosen with the first version; no run on record."""
+
 CLOSE_TIMEOUT_S = 0.5
+"""Seconds for a link to close. Chosen with the first version; no run on record."""
+
 VM_HEADER = "Ramppin-VM"
 PROTOCOL_HEADER = "Ramppin-Protocol"
 
--- a/src/ramppin/router/connection/messages.py
+++ b/src/ramppin/router/connection/messages.py
@@ -16,7 +16,11 @@
 from ramppin.errors import ProtocolError
 
 PROTOCOL_VERSION = 1
+"""Version of these messages; VMs of another one are refused."""
+
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
+"""Bytes of the largest message, a bound on memory. Chosen with the first version; no
+run on record."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/ramppin/router/connection/operator.py
+++ b/src/ramppin/router/connection/operator.py
@@ -16,8 +16,12 @@
 )
 
 TIMEOUT_S = 10.0
+"""Seconds that an operator's call may take. Chosen with the first version; no run on
+record."""
+
 
 _ERRORS: dict[int, type[RamppinError]] = {409: ConflictError, 503: LogUnavailableError}
+"""Errors by the HTTP status with which a router answers an operator."""
 
 
 class OperatorClient:
--- a/src/ramppin/router/process/claims/claiming.py
+++ b/src/ramppin/router/process/claims/claiming.py
@@ -24,6 +24,9 @@
 
 STREAM = "claims"
 MAX_BATCH = 500
+"""Claims that one append to the log carries. Chosen with the first version; no run on
+record."""
+
 FIND_LOST_S = 1.5
 """How long to look for a claim whose append's answer was lost."""
 
--- a/src/ramppin/router/process/reporting/metrics.py
+++ b/src/ramppin/router/process/reporting/metrics.py
@@ -11,6 +11,7 @@
 from ramppin.router.connection.links import Meter
 
 LATENCY_BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5)
+"""Upper bounds of the histograms' buckets, in seconds."""
 
 
 class Metrics:
--- a/src/ramppin/router/process/router.py
+++ b/src/ramppin/router/process/router.py
@@ -22,7 +22,12 @@
 LOG = logging.getLogger(__name__)
 
 SYNC_INTERVAL_S = 0.25
+"""Seconds between two rounds in which owners are sent the places held here, where
+they do not know them yet. Chosen with the first version; no run on record."""
+
 MAX_OPERATOR_CONNECTIONS = 64
+"""Connections of operators at a time. Chosen early; no run on record."""
+
 TICK_S = 0.02
 """Longest time by which something that came due is late."""
 
--- a/src/ramppin/router/process/routing/placer.py
+++ b/src/ramppin/router/process/routing/placer.py
@@ -37,6 +37,9 @@
 """Pause before a shard's owner is asked again after it turned one away."""
 
 NO_OWNER_RETRY_AFTER_S = 2.0
+"""Seconds after which a caller may come back while a shard has no owner. Chosen with
+the first version; no run on record."""
+
 
 PAUSE_S = 0.5
 """A gap between two beats of the loop that shows that the process was paused.
