--- a/features/gateway_lines.py
+++ b/features/gateway_lines.py
@@ -45,6 +45,7 @@
         await self._hear_words()
         await self._quarantine_request()
         answers = await self._ask_operator()
+        await self._restart_server()
         await self._end()
         events = read_events(self._fixture.log_path)
         events |= await write_start_line_without_operators()
@@ -130,6 +131,14 @@
         answers["given up"] = describe_keys(decisions[-1:])
         return answers
 
+    async def _restart_server(self) -> None:
+        fixture = self._fixture
+        fixture.announce("p1", "plain", slots=2, started_ms=1000)
+        fixture.announce("p1", "plain", slots=2, started_ms=2000)
+        await self._wait_for_event("server_restarted")
+        fixture.announce("p1", "plain", slots=2, started_ms=1000)
+        await self._wait_for_event("server_older")
+
     async def _end(self) -> None:
         fixture, gateway = self._fixture, self._gateway
         gateway.context.quarantine.clear(SUSPECT, asyncio.get_running_loop().time())
--- a/features/interfaces/interfaces.feature
+++ b/features/interfaces/interfaces.feature
@@ -18,6 +18,8 @@
       | platform's fields           | platform-fields       |
       | peers' messages             | peer-messages         |
       | stored records              | stored-records        |
+      | values in lines and metrics | line-values           |
+      | store's answers             | store-answers         |
 
   Scenario: a gateway's decision lines and answers to operators are as recorded
     Given a gateway on a log of its own
--- a/features/steps/interface_steps.py
+++ b/features/steps/interface_steps.py
@@ -21,9 +21,23 @@
 import ramppin
 from features.gateway_lines import GatewayLines, describe_keys
 from features.gateway_support import GatewayFixture
+from ramppin import logs
 from ramppin.cli import app
-from ramppin.gateway.connection.datagrams import HomeHint, PeerHints
+from ramppin.gateway.connection.datagrams import (
+    EndHint,
+    FailureHint,
+    HomeHint,
+    LeavingHint,
+    LoadHint,
+    PeerHints,
+    RestHint,
+    SuspectHint,
+    WaitHint,
+)
 from ramppin.gateway.process.membership.members import MemberRecord
+from ramppin.gateway.process.membership.serverwords import WordSource
+from ramppin.gateway.process.quarantine.quarantine import ChangeKind
+from ramppin.gateway.process.recovery.logcontact import LogCall
 from ramppin.gateway.process.recovery.peermessages import (
     PeerAnswer,
     PeerQuestion,
@@ -34,8 +48,13 @@
 )
 from ramppin.gateway.process.reporting.exposition import build_family
 from ramppin.gateway.process.reporting.metrics import GatewayMetrics, HistogramTally
+from ramppin.gateway.process.routing.closure import ClosureReason
 from ramppin.gateway.process.routing.homesnapshot import SNAPSHOT_KEY, HomeSnapshot
 from ramppin.gateway.process.settingsfile import GatewayFile
+from ramppin.gateway.request.finalanswer import Ending
+from ramppin.gateway.request.result import AttemptEnd
+from ramppin.gateway.request.retry import Verdict
+from ramppin.gateway.version.routing import RouteKind
 from ramppin.gateway.version.routingfile import RoutingTree, ServerNode
 from ramppin.router.connection import messages
 from ramppin.router.connection.links import Meter
@@ -48,6 +67,7 @@
 from ramppin_platform import vocabulary
 from ramppin_platform.records import ConfigRecord, ServerRecord
 from ramppin_platform.settings import PlatformSettings
+from ramppin_platform.store import NewestPage, TrimmedAnswer
 from standins.fleet import OPERATOR_KEY
 
 RECORDED = Path("features/interfaces")
@@ -235,6 +255,24 @@
 )
 
 
+SUSPECT_HINT = SuspectHint(7, [EndHint("s1", 20, 30)], 2, ["s2"], True, 40)
+
+FULL_HINTS = PeerHints(
+    "vm-1",
+    [HomeHint(99, "s1", 40)],
+    False,
+    [FailureHint("s1", 1)],
+    [LoadHint("s1", 3, 50)],
+    [WaitHint("s1", 4)],
+    [98],
+    [SUSPECT_HINT],
+    5,
+    [LeavingHint("s2", 60)],
+    [RestHint("s3", 70)],
+)
+"""A datagram with an entry of each kind."""
+
+
 def list_peer_messages() -> Any:
     few = [PeerRecord("config", b"{}", 7), PeerRecord("gone", None, 8)]
     many = [PeerRecord(f"key-{n}", b"value" * 10, n) for n in range(MANY_RECORDS)]
@@ -246,6 +284,7 @@
         "large answer's mark": large[:1],
         "large answer": zlib.decompress(large[1:]),
         "hints": msgspec.msgpack.encode(PeerHints("vm-1", [HomeHint(99, "s1", 40)])),
+        "full hints": msgspec.msgpack.encode(FULL_HINTS),
     }
     router = {
         type(message).__name__: messages.encode_message(message)
@@ -258,13 +297,40 @@
 
 
 def list_stored_records() -> Any:
-    snapshot = HomeSnapshot("vm-1", [HomeHint(99, "s1", 40)])
+    homes = [HomeHint(99, "s1", 40)]
+    snapshot = HomeSnapshot("vm-1", homes)
+    full_snapshot = HomeSnapshot("vm-1", homes, [SUSPECT_HINT])
     return {
         "settings": describe_model(SettingsRecord),
         "leases": describe_model(LeaseRecord),
         "claims": describe_model(ClaimRecord),
         "members": describe_model(MemberRecord),
-        "homes": {SNAPSHOT_KEY: msgspec.msgpack.encode(snapshot).hex()},
+        "homes": {
+            SNAPSHOT_KEY: msgspec.msgpack.encode(snapshot).hex(),
+            "with suspects": msgspec.msgpack.encode(full_snapshot).hex(),
+        },
+    }
+
+
+def list_line_values() -> Any:
+    """Return the values that decision lines, metrics and answers take from enums."""
+    return {
+        "rules": sorted(verdict.name.lower() for verdict in Verdict),
+        "endings": sorted(ending.name.lower() for ending in Ending),
+        "ends of attempts": sorted(end.value for end in AttemptEnd),
+        "closure reasons": sorted(reason.value for reason in ClosureReason),
+        "sources of closures": sorted(source.value for source in WordSource),
+        "quarantine events": sorted(kind.value for kind in ChangeKind),
+        "log calls": sorted(call.value for call in LogCall),
+        "kinds of routes": sorted(kind.value for kind in RouteKind),
+        "fields of process logs": sorted(logs._FIELDS),
+    }
+
+
+def list_store_answers() -> Any:
+    return {
+        "newest records": describe_model(NewestPage),
+        "trimmed history": describe_model(TrimmedAnswer),
     }
 
 
@@ -277,6 +343,8 @@
     "platform's fields": list_platform_fields,
     "peers' messages": list_peer_messages,
     "stored records": list_stored_records,
+    "values in lines and metrics": list_line_values,
+    "store's answers": list_store_answers,
 }
 
 
