--- a/bench/vms/clock.py
+++ b/bench/vms/clock.py
@@ -22,8 +22,8 @@
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.hints import SHORTEST_PERIOD_S, HintExchange
 from ramppin.gateway.process.routing.homes import PrefixHomes
+from ramppin.gateway.process.routing.noticegossip import WordNews
 from ramppin.gateway.process.routing.servernews import ServerNews
-from ramppin.gateway.process.routing.wordnews import WordNews
 
 LATENCY_S = 0.001
 """One way between two VMs, or a VM and a server."""
--- a/features/gateway_lines.py
+++ b/features/gateway_lines.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from features.gateway_support import GatewayFixture, build_tree, encode_request
-from ramppin.gateway.process.membership.serverwords import WordSource
+from ramppin.gateway.process.membership.servernotices import WordSource
 from ramppin.gateway.process.reporting.decisions import DecisionLog
-from ramppin.gateway.process.turns import STALL_S
+from ramppin.gateway.process.stalldetector import STALL_S
 from ramppin.gateway.request.admission import Denial
 from ramppin.gateway.request.result import AttemptEnd
 from standins.common import wait_for
--- a/features/steps/gateway_server_rule_steps.py
+++ b/features/steps/gateway_server_rule_steps.py
@@ -41,7 +41,7 @@
 from ramppin.gateway.process.routing.selection import SelectionRequest
 from ramppin.gateway.process.routing.servernews import ServerNews
 from ramppin.gateway.process.routing.serverstate import BackendServer, ServerState
-from ramppin.gateway.process.turns import Turns
+from ramppin.gateway.process.stalldetector import Turns
 from ramppin.ranking import RendezvousRanking
 
 NOW = 100.0
--- a/features/steps/interface_steps.py
+++ b/features/steps/interface_steps.py
@@ -35,7 +35,7 @@
     WaitHint,
 )
 from ramppin.gateway.process.membership.members import MemberRecord
-from ramppin.gateway.process.membership.serverwords import WordSource
+from ramppin.gateway.process.membership.servernotices import WordSource
 from ramppin.gateway.process.quarantine.quarantine import ChangeKind
 from ramppin.gateway.process.recovery.logcontact import LogCall
 from ramppin.gateway.process.recovery.peermessages import (
--- a/features/steps/platform_cold_steps.py
+++ b/features/steps/platform_cold_steps.py
@@ -20,7 +20,7 @@
 from ramppin.gateway.process.routing.homes import PrefixHomes
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
 from ramppin.gateway.process.routing.selection import SelectionRequest
-from ramppin.gateway.process.turns import Turns
+from ramppin.gateway.process.stalldetector import Turns
 from ramppin.ranking import RendezvousRanking
 from standins.common import wait_for
 
--- a/features/steps/server_word_fleet_steps.py
+++ b/features/steps/server_word_fleet_steps.py
@@ -9,11 +9,11 @@
 from bench.vms.clock import VmClock
 from features.gateway_support import read_names
 from ramppin.gateway.connection.datagrams import LeavingHint
-from ramppin.gateway.process.membership.serverwords import WordSource
+from ramppin.gateway.process.membership.servernotices import WordSource
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.eligibility import list_eligible
+from ramppin.gateway.process.routing.noticegossip import WordNews
 from ramppin.gateway.process.routing.serverstate import BackendServer
-from ramppin.gateway.process.routing.wordnews import WordNews
 
 UNIX_S = 1_700_000_000
 
--- a/features/steps/server_word_steps.py
+++ b/features/steps/server_word_steps.py
@@ -9,15 +9,15 @@
 from features.gateway_support import is_yes
 from ramppin.gateway.connection.httpwire import HeaderNames
 from ramppin.gateway.connection.upstream import AnswerHead
-from ramppin.gateway.process.membership.serverwords import WordSource
+from ramppin.gateway.process.membership.servernotices import WordSource
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.gate import ServerGate
 from ramppin.gateway.process.routing.incarnation import StartVerdict, judge_start
+from ramppin.gateway.process.routing.noticeregistry import KEPT_STARTS
 from ramppin.gateway.process.routing.serverstate import BackendServer
-from ramppin.gateway.process.routing.wordbook import KEPT_STARTS
 from ramppin.gateway.request.retry import Progress, judge_try
 from ramppin.gateway.request.retryafter import choose_retry_after_s
-from ramppin.gateway.request.serverword import read_word
+from ramppin.gateway.request.servernotice import read_word
 
 NAMES = HeaderNames()
 WALL_TIME = 784111767.0
--- a/features/steps/server_word_waiting_steps.py
+++ b/features/steps/server_word_waiting_steps.py
@@ -10,7 +10,7 @@
 from features.gateway_support import HOST
 from features.steps.server_word_exchange_steps import run, write_entry
 from ramppin.gateway.connection.requestreader import CallerRequest
-from ramppin.gateway.process.membership.serverwords import WordSource
+from ramppin.gateway.process.membership.servernotices import WordSource
 from ramppin.gateway.request.fingerprint import hash_request
 from ramppin.gateway.version.routing import Customer
 from standins.common import wait_for
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -36,16 +36,16 @@
 from ramppin.gateway.process.recovery.peeranswers import RecordsResponder
 from ramppin.gateway.process.recovery.tables import GatewaySources, GatewayTables
 from ramppin.gateway.process.reporting.decisions import DecisionLog
+from ramppin.gateway.process.reporting.noticelines import WordLines
 from ramppin.gateway.process.reporting.quarantinelines import note_quarantine
-from ramppin.gateway.process.reporting.wordlines import WordLines
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.hints import HintExchange
 from ramppin.gateway.process.routing.homes import PrefixHomes
 from ramppin.gateway.process.routing.nearestselection import NearestSelection
+from ramppin.gateway.process.routing.noticegossip import WordNews
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
 from ramppin.gateway.process.routing.servernews import ServerNews
-from ramppin.gateway.process.routing.wordnews import WordNews
-from ramppin.gateway.process.turns import STALL_S, Turns
+from ramppin.gateway.process.stalldetector import STALL_S, Turns
 from ramppin.gateway.request.responder import ExchangeResponder
 
 SWEEP_S = 0.25
--- a/src/ramppin/gateway/process/load/waiting.py
+++ b/src/ramppin/gateway/process/load/waiting.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass
 
-from ramppin.gateway.process.turns import Turns
+from ramppin.gateway.process.stalldetector import Turns
 
 OVERDUE_RATIO = 3.0
 """Multiple of the usual wait for a first byte after which a request is overdue: of
--- a/src/ramppin/gateway/process/membership/health.py
+++ b/src/ramppin/gateway/process/membership/health.py
@@ -12,7 +12,7 @@
 
 from enum import Enum
 
-from ramppin.gateway.process.turns import Turns
+from ramppin.gateway.process.stalldetector import Turns
 
 FAILURE_WEIGHT = 0.25
 """Weight of the newest outcome in the moving failure rate, from 0 to 1."""
--- a/src/ramppin/gateway/process/reporting/wordlines.py
+++ b/src/ramppin/gateway/process/reporting/noticelines.py
@@ -5,9 +5,9 @@
 import logging
 
 from ramppin.gateway.process.context import GatewayContext
-from ramppin.gateway.process.membership.serverwords import RestWord
+from ramppin.gateway.process.membership.servernotices import RestWord
 from ramppin.gateway.process.routing.closure import ClosureReason
-from ramppin.gateway.process.routing.wordbook import WordChange
+from ramppin.gateway.process.routing.noticeregistry import WordChange
 
 LONG_REST_S = 60.0
 """Seconds of rest above which someone should look: the server is lost for as long."""
--- a/src/ramppin/gateway/process/routing/directory.py
+++ b/src/ramppin/gateway/process/routing/directory.py
@@ -12,9 +12,9 @@
 from ramppin.gateway.process.load.times import ServiceTimes
 from ramppin.gateway.process.routing.closure import find_lasting_closure
 from ramppin.gateway.process.routing.evacuation import Evacuations
+from ramppin.gateway.process.routing.noticeregistry import WordBook
 from ramppin.gateway.process.routing.serverstate import BackendServer, ServerState
-from ramppin.gateway.process.routing.wordbook import WordBook
-from ramppin.gateway.process.turns import Turns
+from ramppin.gateway.process.stalldetector import Turns
 
 
 class ServerDirectory:
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -25,8 +25,8 @@
 from ramppin.gateway.process.quarantine.quarantine import Quarantine
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.homes import HomeNotice, PrefixHomes
+from ramppin.gateway.process.routing.noticegossip import WordNews
 from ramppin.gateway.process.routing.servernews import ServerNews
-from ramppin.gateway.process.routing.wordnews import WordNews
 
 SHORTEST_PERIOD_S = 0.08
 """Seconds between two messages to all VMs."""
--- a/src/ramppin/gateway/process/routing/wordnews.py
+++ b/src/ramppin/gateway/process/routing/noticegossip.py
@@ -14,9 +14,9 @@
 from collections.abc import Callable, Sequence
 
 from ramppin.gateway.connection.datagrams import LeavingHint, RestHint
-from ramppin.gateway.process.membership.serverwords import WordSource
+from ramppin.gateway.process.membership.servernotices import WordSource
 from ramppin.gateway.process.routing.directory import ServerDirectory
-from ramppin.gateway.process.routing.wordbook import MS_PER_S
+from ramppin.gateway.process.routing.noticeregistry import MS_PER_S
 
 TELLINGS = 4
 """Messages in which a word is told that this VM heard itself: where 3 of 5 datagrams
--- a/src/ramppin/gateway/process/routing/wordbook.py
+++ b/src/ramppin/gateway/process/routing/noticeregistry.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ramppin.gateway.process.membership.serverwords import (
+from ramppin.gateway.process.membership.servernotices import (
     LeavingWord,
     ServerWords,
     WordSource,
--- a/src/ramppin/gateway/process/routing/serverstate.py
+++ b/src/ramppin/gateway/process/routing/serverstate.py
@@ -14,9 +14,9 @@
 from ramppin.gateway.process.membership.coldness import ServerColdness
 from ramppin.gateway.process.membership.evidence import FleetEvidence
 from ramppin.gateway.process.membership.health import ServerHealth
-from ramppin.gateway.process.membership.serverwords import ServerWords
+from ramppin.gateway.process.membership.servernotices import ServerWords
 from ramppin.gateway.process.membership.shedding import FleetShedding
-from ramppin.gateway.process.turns import Turns
+from ramppin.gateway.process.stalldetector import Turns
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/ramppin/gateway/request/answerkind.py
+++ b/src/ramppin/gateway/request/answerkind.py
@@ -13,7 +13,7 @@
 from ramppin.gateway.connection.upstream import AnswerHead
 from ramppin.gateway.process.membership.health import Outcome
 from ramppin.gateway.request.result import AttemptEnd
-from ramppin.gateway.request.serverword import MISDIRECTED
+from ramppin.gateway.request.servernotice import MISDIRECTED
 
 NOT_RUN_STATUSES = frozenset({400, 408, 421, 429, 503})
 """HTTP statuses with which a server may say that it did not run a request."""
--- a/src/ramppin/gateway/request/attempt.py
+++ b/src/ramppin/gateway/request/attempt.py
@@ -31,7 +31,7 @@
 from ramppin.gateway.request.answerkind import AnswerKind, judge_answer
 from ramppin.gateway.request.events import EventSplitter
 from ramppin.gateway.request.result import AttemptEnd, AttemptResult
-from ramppin.gateway.request.serverword import NO_WORD, ServerWord, read_word
+from ramppin.gateway.request.servernotice import NO_WORD, ServerWord, read_word
 
 MAX_BUFFERED_BYTES = 262_144
 """Bytes of a whole answer that are kept before it is passed on in pieces: until then a
--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -16,7 +16,7 @@
 from ramppin.gateway.connection.requestreader import CallerRequest
 from ramppin.gateway.connection.upstream import UpstreamConnection
 from ramppin.gateway.process.context import GatewayContext
-from ramppin.gateway.process.membership.serverwords import WordSource
+from ramppin.gateway.process.membership.servernotices import WordSource
 from ramppin.gateway.process.routing.selection import Selection
 from ramppin.gateway.process.routing.serverstate import ServerState
 from ramppin.gateway.request.admission import (
@@ -46,7 +46,7 @@
     judge_try,
 )
 from ramppin.gateway.request.serverchoice import ServerChoice
-from ramppin.gateway.request.serverword import ServerWord
+from ramppin.gateway.request.servernotice import ServerWord
 from ramppin.gateway.request.upstreamhead import RequestHeadBuilder
 
 _REPLACED = frozenset({b"content-length", b"retry-after"})
--- a/src/ramppin/gateway/request/finalanswer.py
+++ b/src/ramppin/gateway/request/finalanswer.py
@@ -16,7 +16,7 @@
 from ramppin.gateway.request.result import AttemptEnd, AttemptResult
 from ramppin.gateway.request.retry import Progress, Verdict
 from ramppin.gateway.request.retryafter import STOP_PAUSE_S, choose_start_pause_s
-from ramppin.gateway.request.serverword import REST_STATUSES
+from ramppin.gateway.request.servernotice import REST_STATUSES
 
 NOT_RUN_STATUS = 503
 """Status of a request that no server ran."""
--- a/src/ramppin/gateway/request/result.py
+++ b/src/ramppin/gateway/request/result.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 from ramppin.gateway.connection.upstream import AnswerHead
-from ramppin.gateway.request.serverword import NO_WORD, ServerWord
+from ramppin.gateway.request.servernotice import NO_WORD, ServerWord
 
 
 class AttemptEnd(Enum):
