--- a/bench/vms/coldstarts.py
+++ b/bench/vms/coldstarts.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from ramppin.gateway.process.limits.coldturns import ColdRules, ColdTurns
+from ramppin.gateway.process.limits.coldquota import ColdQuota, ColdRules
 
 PER_S = 13.0
 """Requests a second that a cold server takes."""
@@ -144,7 +144,7 @@
     ) -> None:
         super().__init__(vm, known, generator, skew_s)
         self._now = 0.0
-        self._turns = ColdTurns(vm, lambda now: known, RULES, self._read_time)
+        self._quota = ColdQuota(vm, lambda now: known, RULES, self._read_time)
 
     def _read_time(self) -> float:
         return 1e6 + self._now + self._skew_s
@@ -152,9 +152,9 @@
     def may_send(self, server: str, now: float) -> bool:
         """Return whether a request is sent; it is then."""
         self._now = now
-        is_sent = self._turns.count_left(server, PER_S, now) > 0
+        is_sent = self._quota.count_remaining(server, PER_S, now) > 0
         if is_sent:
-            self._turns.note_sent(server)
+            self._quota.note_sent(server)
         return is_sent
 
 
--- a/bench/vms/shedding.py
+++ b/bench/vms/shedding.py
@@ -16,7 +16,7 @@
 
 from bench.vms.clock import LATENCY_S, ModelVm, VmClock
 from ramppin.gateway.connection.datagrams import PeerHints
-from ramppin.gateway.process.limits.coldturns import ColdRules, ColdTurns
+from ramppin.gateway.process.limits.coldquota import ColdQuota, ColdRules
 from ramppin.gateway.process.routing.gate import ServerGate
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
 from ramppin.gateway.process.routing.selection import SelectionRequest
@@ -90,8 +90,8 @@
         self.passed_over = 0
 
     def _build_gate(self, vm: ModelVm) -> ServerGate:
-        turns = ColdTurns(vm.name, lambda now: [vm.name], ColdRules())
-        return ServerGate(vm.directory, turns, lambda service: 0.0)
+        quota = ColdQuota(vm.name, lambda now: [vm.name], ColdRules())
+        return ServerGate(vm.directory, quota, lambda service: 0.0)
 
     def run(self) -> None:
         """Run to the end."""
--- a/features/steps/platform_cold_steps.py
+++ b/features/steps/platform_cold_steps.py
@@ -15,7 +15,7 @@
 from bench.vms.coldstarts import list_cold_patterns, play_cold
 from features.gateway_support import build_server, read_names
 from features.platform_support import PlatformFixture, build_config
-from ramppin.gateway.process.limits.coldturns import ColdRules, ColdTurns
+from ramppin.gateway.process.limits.coldquota import ColdQuota, ColdRules
 from ramppin.gateway.process.membership.coldness import ServerColdness
 from ramppin.gateway.process.routing.homes import PrefixHomes
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
@@ -60,10 +60,10 @@
 )
 def step_places(context, per_s, overage, slack, places, window):
     rules = ColdRules(overage, slack)
-    assert rules.count_places(per_s) == places
-    turns = ColdTurns("vm-1", lambda now: ["vm-1"], rules, lambda: 1000.0)
-    assert turns.count_left("i-1", per_s, NOW) == places
-    assert turns.measure_wait_s(per_s) == window
+    assert rules.compute_quota(per_s) == places
+    quota = ColdQuota("vm-1", lambda now: ["vm-1"], rules, lambda: 1000.0)
+    assert quota.count_remaining("i-1", per_s, NOW) == places
+    assert quota.measure_wait_s(per_s) == window
 
 
 @then(
@@ -74,10 +74,10 @@
     names = [f"vm-{number}" for number in range(1, vms + 1)]
     found = []
     for window in range(200):
-        turns = ColdTurns(
+        quota = ColdQuota(
             "vm-1", lambda now: names, ColdRules(1.5, 5.0), lambda w=window: w + 0.5
         )
-        found.append(turns.count_left("i-1", 13.0, NOW))
+        found.append(quota.count_remaining("i-1", 13.0, NOW))
     assert (min(found), max(found)) == (least, most), Counter(found)
     if vms:
         mean = sum(found) / len(found)
--- a/src/ramppin/gateway/process/config.py
+++ b/src/ramppin/gateway/process/config.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from ramppin.gateway.connection.httpwire import HeaderNames
-from ramppin.gateway.process.limits.coldturns import ColdRules
+from ramppin.gateway.process.limits.coldquota import ColdRules
 from ramppin.gateway.process.limits.drain import DrainTimes
 from ramppin.gateway.process.limits.retrybudget import RetryRules
 
--- a/src/ramppin/gateway/process/context.py
+++ b/src/ramppin/gateway/process/context.py
@@ -15,7 +15,7 @@
 from ramppin.gateway.connection.callerwire import ListenerState
 from ramppin.gateway.connection.httpwire import HeaderNames
 from ramppin.gateway.connection.pool import ConnectionPool
-from ramppin.gateway.process.limits.coldturns import ColdTurns
+from ramppin.gateway.process.limits.coldquota import ColdQuota
 from ramppin.gateway.process.limits.drain import Drain
 from ramppin.gateway.process.limits.retrybudget import RetryBudget
 from ramppin.gateway.process.quarantine.quarantine import Quarantine
@@ -54,7 +54,7 @@
         plain_selection: for all others.
         generator: random numbers.
         retry_budget: retries that this VM may make.
-        cold_turns: requests that this VM may send to cold servers.
+        cold_quota: requests that this VM may send to cold servers.
         gate: tells which servers take requests now.
         quarantine: requests under which servers end.
         server_checks: tell whether a server to which a connection was lost has ended.
@@ -80,7 +80,7 @@
     plain_selection: NearestSelection
     generator: random.Random
     retry_budget: RetryBudget
-    cold_turns: ColdTurns
+    cold_quota: ColdQuota
     gate: ServerGate = field(init=False)
     quarantine: Quarantine = field(default_factory=Quarantine)
     server_checks: ServerChecks = field(init=False)
@@ -97,7 +97,7 @@
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        self.gate = ServerGate(self.directory, self.cold_turns, self.find_cold_rate)
+        self.gate = ServerGate(self.directory, self.cold_quota, self.find_cold_rate)
         self.server_checks = ServerChecks(self.pool, self.quarantine)
 
     @property
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -26,7 +26,7 @@
 from ramppin.gateway.connection.pool import ConnectionPool
 from ramppin.gateway.process.config import Address, GatewayConfig
 from ramppin.gateway.process.context import GatewayContext
-from ramppin.gateway.process.limits.coldturns import ColdTurns
+from ramppin.gateway.process.limits.coldquota import ColdQuota
 from ramppin.gateway.process.limits.drain import Drain
 from ramppin.gateway.process.limits.readiness import ReadinessResponder
 from ramppin.gateway.process.limits.retrybudget import RetryBudget
@@ -104,7 +104,7 @@
             ),
             generator=generator,
             retry_budget=RetryBudget(config.retry_rules),
-            cold_turns=ColdTurns(config.vm, self._list_sharing_vms, config.cold_rules),
+            cold_quota=ColdQuota(config.vm, self._list_sharing_vms, config.cold_rules),
             failure_domain=config.failure_domain,
         )
         self.context.listener.note_refused = self._note_refused
--- a/src/ramppin/gateway/process/limits/coldturns.py
+++ b/src/ramppin/gateway/process/limits/coldquota.py
@@ -39,7 +39,7 @@
     overage: float = 1.0
     slack: float = 0.0
 
-    def count_places(self, per_s: float) -> int:
+    def compute_quota(self, per_s: float) -> int:
         """Return how many requests all VMs may send to a server in one window.
 
         As many as the rate gives, and so few that what windows allow in one second is
@@ -50,14 +50,14 @@
 
 
 @dataclass(slots=True)
-class _Places:
+class _WindowQuota:
     """This VM's places at one server in one window."""
 
     window: int
-    left: int
+    remaining: int
 
 
-class ColdTurns:
+class ColdQuota:
     """This VM's turns at cold servers.
 
     Args:
@@ -81,10 +81,10 @@
         self._list_vms = list_vms
         self._rules = rules
         self._read_time = read_time
-        self._places: dict[str, _Places] = {}
+        self._windows: dict[str, _WindowQuota] = {}
         self._ranking = RendezvousRanking()
 
-    def count_left(self, server_id: str, per_s: float, now: float) -> int:
+    def count_remaining(self, server_id: str, per_s: float, now: float) -> int:
         """Return how many requests this VM may send to a cold server now.
 
         Args:
@@ -93,37 +93,39 @@
             now: the loop's time.
         """
         window = int(self._read_time() / _measure_window_s(per_s))
-        places = self._places.get(server_id)
-        if places is None or places.window != window:
-            places = _Places(window, self._count_places(server_id, per_s, window, now))
-            self._places[server_id] = places
-        return places.left
+        quota = self._windows.get(server_id)
+        if quota is None or quota.window != window:
+            quota = _WindowQuota(
+                window, self._compute_quota(server_id, per_s, window, now)
+            )
+            self._windows[server_id] = quota
+        return quota.remaining
 
     def note_sent(self, server_id: str) -> None:
         """Note that a request goes to a cold server."""
-        places = self._places.get(server_id)
-        if places is not None:
-            places.left -= 1
+        quota = self._windows.get(server_id)
+        if quota is not None:
+            quota.remaining -= 1
 
     def forget(self, server_id: str) -> None:
         """Forget a server that is warm, or gone."""
-        self._places.pop(server_id, None)
+        self._windows.pop(server_id, None)
 
     def measure_wait_s(self, per_s: float) -> float:
         """Return the seconds until the next window begins."""
         window_s = _measure_window_s(per_s)
         return window_s - self._read_time() % window_s
 
-    def _count_places(
+    def _compute_quota(
         self, server_id: str, per_s: float, window: int, now: float
     ) -> int:
         vms = self._list_vms(now)
         if not vms:
             return 0
-        places = self._rules.count_places(per_s)
+        quota = self._rules.compute_quota(per_s)
         key = mix(hash_name(server_id), window)
         rank = self._ranking.rank(key, vms).index(self._vm)
-        return places // len(vms) + (rank < places % len(vms))
+        return quota // len(vms) + (rank < quota % len(vms))
 
 
 def _measure_window_s(per_s: float) -> float:
--- a/src/ramppin/gateway/process/recovery/changes.py
+++ b/src/ramppin/gateway/process/recovery/changes.py
@@ -179,7 +179,7 @@
                 offset=offset,
             )
         elif not state.coldness.is_cold(now):
-            context.cold_turns.forget(state.id)
+            context.cold_quota.forget(state.id)
 
     def _refuse_server(self, record: Record, reason: str) -> None:
         """Take no entry that can't be read; its server gets no new work meanwhile."""
--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -218,7 +218,7 @@
         for state in self._context.directory.remove_missing(now):
             self._context.pool.drop_peer(state.id)
             self._context.quarantine.note_server_ended(state.id)
-            self._context.cold_turns.forget(state.id)
+            self._context.cold_quota.forget(state.id)
             self._context.decisions.note("server_gone", server=state.server.name)
 
     # the tables
--- a/src/ramppin/gateway/process/routing/gate.py
+++ b/src/ramppin/gateway/process/routing/gate.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
 
-from ramppin.gateway.process.limits.coldturns import ColdTurns
+from ramppin.gateway.process.limits.coldquota import ColdQuota
 from ramppin.gateway.process.routing.closure import (
     Closure,
     ClosureReason,
@@ -66,7 +66,7 @@
 
     Args:
         directory: the backend servers.
-        cold_turns: requests that this VM may send to cold servers.
+        cold_quota: requests that this VM may send to cold servers.
         find_cold_rate: returns how many requests a second a cold server of a service
             takes; 0 for any number.
 
@@ -76,11 +76,11 @@
     def __init__(
         self,
         directory: ServerDirectory,
-        cold_turns: ColdTurns,
+        cold_quota: ColdQuota,
         find_cold_rate: Callable[[str], float],
     ) -> None:
         self._directory = directory
-        self._cold_turns = cold_turns
+        self._cold_quota = cold_quota
         self._find_cold_rate = find_cold_rate
 
     def survey(self, service: str, now: float) -> ServiceSurvey:
@@ -118,9 +118,9 @@
         """Return the closure of a cold server at which this VM has no place."""
         if not per_s or not state.coldness.is_cold(now):
             return None
-        if self._cold_turns.count_left(state.id, per_s, now) >= 1:
+        if self._cold_quota.count_remaining(state.id, per_s, now) >= 1:
             return None
-        wait_s = self._cold_turns.measure_wait_s(per_s)
+        wait_s = self._cold_quota.measure_wait_s(per_s)
         return Closure(ClosureReason.COLD, now + wait_s)
 
 
--- a/src/ramppin/gateway/request/serverchoice.py
+++ b/src/ramppin/gateway/request/serverchoice.py
@@ -64,7 +64,7 @@
         if selection is None:
             return judge_none_left(survey.list_reasons(self._tried))
         self._tried.add(selection.state.id)
-        context.cold_turns.note_sent(selection.state.id)
+        context.cold_quota.note_sent(selection.state.id)
         return replace(selection, closed=self.closed)
 
     def find_obstacle(self, state: ServerState, now: float) -> str:
