--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -65,10 +65,10 @@
     window = RetryWindow(ratio=0.2, window_s=10.0, extra=2)
     for _ in range(requests):
         window.note_request(5.0)
-    assert sum(window.take(6.0) for _ in range(asked)) == allowed
+    assert sum(window.consume(6.0) for _ in range(asked)) == allowed
     if requests:
-        assert not window.take(14.9)
-    assert window.take(16.5)
+        assert not window.consume(14.9)
+    assert window.consume(16.5)
 
 
 @then('the time limit set at "{levels}" is {value:f}')
@@ -341,8 +341,8 @@
 def step_extra(context, fleet, live, extra):
     fleet_extra = None if fleet == "none" else int(fleet)
     budget = RetryBudget(RetryRules(ratio=0.0, fleet_extra=fleet_extra))
-    budget.share(live)
-    made = sum(budget.take("plain", 0.0) for _ in range(20))
+    budget.set_live_vms(live)
+    made = sum(budget.consume("plain", 0.0) for _ in range(20))
     assert made == extra, made
     if fleet_extra is not None and live > 1:
         assert extra * live <= fleet_extra
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -311,7 +311,7 @@
             note_quarantine(context, now)
             words.note(now)
             context.live_vms = 1 + len(self.tables.members.list_live(now))
-            context.retry_budget.share(context.live_vms)
+            context.retry_budget.set_live_vms(context.live_vms)
             if now - refilled_at >= REFILL_S:
                 refilled_at = now
                 context.decisions.refill()
--- a/src/ramppin/gateway/process/limits/retrybudget.py
+++ b/src/ramppin/gateway/process/limits/retrybudget.py
@@ -16,7 +16,7 @@
 """Part of the fleet's extra retries that its VMs divide among themselves: VMs that have
 just started are not known to all."""
 
-MOST_EXTRA = 4
+MAX_EXTRA = 4
 """Extra retries of one VM: in a small fleet one VM with bad links must not spend what
 the others need."""
 
@@ -47,7 +47,7 @@
         """
         if self.fleet_extra is None or live_vms <= 1:
             return self.extra
-        return min(MOST_EXTRA, int(EXTRA_SHARE * self.fleet_extra / live_vms))
+        return min(MAX_EXTRA, int(EXTRA_SHARE * self.fleet_extra / live_vms))
 
 
 class RetryWindow:
@@ -76,16 +76,16 @@
         self._requests.append(now)
         self._forget(self._requests, now)
 
-    def has_left(self, now: float) -> bool:
+    def allows_retry(self, now: float) -> bool:
         """Return whether a retry may be made."""
         self._forget(self._requests, now)
         self._forget(self._retries, now)
         allowed = self._ratio * len(self._requests) + self.extra
         return len(self._retries) + 1 <= allowed
 
-    def take(self, now: float) -> bool:
+    def consume(self, now: float) -> bool:
         """Return whether a retry may be made, and count it."""
-        if not self.has_left(now):
+        if not self.allows_retry(now):
             return False
         self._retries.append(now)
         return True
@@ -125,7 +125,7 @@
             self._rules = rules
             self._windows.clear()
 
-    def share(self, live_vms: int) -> None:
+    def set_live_vms(self, live_vms: int) -> None:
         """Take how many live VMs share the fleet's budget, this one included."""
         if live_vms != self._live_vms:
             self._live_vms = live_vms
@@ -136,13 +136,13 @@
         """Note a request of a service."""
         self._find_window(service).note_request(now)
 
-    def has_left(self, service: str, now: float) -> bool:
+    def allows_retry(self, service: str, now: float) -> bool:
         """Return whether a retry of a service may be made, without counting it."""
-        return self._find_window(service).has_left(now)
+        return self._find_window(service).allows_retry(now)
 
-    def take(self, service: str, now: float) -> bool:
+    def consume(self, service: str, now: float) -> bool:
         """Return whether a retry of a service may be made, and count it."""
-        return self._find_window(service).take(now)
+        return self._find_window(service).consume(now)
 
     def measure_requests_per_s(self, service: str, now: float) -> float:
         """Return a service's requests in a second, over the window."""
--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -294,7 +294,7 @@
         """Return whether another attempt may follow; count it in the budget."""
         budget, now = self._context.retry_budget, self._loop.time()
         service = admission.service
-        has_budget = budget.has_left(service, now)
+        has_budget = budget.allows_retry(service, now)
         verdict = judge_retry(
             admission.route,
             self._progress,
@@ -305,7 +305,7 @@
         if verdict is Verdict.BUDGET_SPENT:
             self._report.count_refused_retry(service)
         elif verdict.allows and result.end is not AttemptEnd.NOT_SENT:
-            budget.take(service, now)
+            budget.consume(service, now)
         return verdict
 
     def _judge_takeover(self, admission: Admission, choice: ServerChoice) -> Verdict:
@@ -317,7 +317,7 @@
             admission.route,
             self._progress,
             has_other_server=choice.has_other(now),
-            has_budget=self._context.retry_budget.has_left(admission.service, now),
+            has_budget=self._context.retry_budget.allows_retry(admission.service, now),
         )
 
     # ends
