--- a/bench/vms/shedding.py
+++ b/bench/vms/shedding.py
@@ -67,7 +67,7 @@
     """
 
     def __init__(self, pattern: SheddingPattern, *, tells: bool) -> None:
-        change = {} if tells else {"change_hints": leave_rests_out}
+        change = {} if tells else {"change_hints": leave_backoffs_out}
         super().__init__(pattern.vms, 5, **change)
         self.pattern = pattern
         self._random = random.Random(pattern.seed)
@@ -141,9 +141,9 @@
         return server_id.startswith("s-") and int(server_id[2:]) in self._shedding
 
 
-def leave_rests_out(hints: PeerHints) -> PeerHints:
+def leave_backoffs_out(hints: PeerHints) -> PeerHints:
     """Return a message without the rests that it tells."""
-    return msgspec.structs.replace(hints, rests=[]) if hints.rests else hints
+    return msgspec.structs.replace(hints, backoffs=[]) if hints.backoffs else hints
 
 
 def tabulate_shedding(vms: int, seeds: Iterable[int]) -> list[dict[str, object]]:
--- a/features/steps/interface_steps.py
+++ b/features/steps/interface_steps.py
@@ -24,13 +24,13 @@
 from ramppin import logs
 from ramppin.cli import app
 from ramppin.gateway.connection.datagrams import (
+    BackoffHint,
     EndHint,
     FailureHint,
     HomeHint,
     LeavingHint,
     LoadHint,
     PeerHints,
-    RestHint,
     SuspectHint,
     WaitHint,
 )
@@ -268,7 +268,7 @@
     [SUSPECT_HINT],
     5,
     [LeavingHint("s2", 60)],
-    [RestHint("s3", 70)],
+    [BackoffHint("s3", 70)],
 )
 """A datagram with an entry of each kind."""
 
--- a/src/ramppin/gateway/connection/datagrams.py
+++ b/src/ramppin/gateway/connection/datagrams.py
@@ -87,11 +87,11 @@
     age_ms: int
 
 
-class RestHint(msgspec.Struct, array_like=True, frozen=True):
+class BackoffHint(msgspec.Struct, array_like=True, frozen=True):
     """A backend server that asked the sender for rest, and what is left of it in ms."""
 
     server: str
-    left_ms: int
+    remaining_ms: int
 
 
 class PeerHints(msgspec.Struct, array_like=True, frozen=True):
@@ -108,7 +108,7 @@
         suspects: requests under which servers ended, or that ran well since.
         held: one number for all requests that the sender refuses.
         leaving: servers that said in answers that they leave.
-        rests: servers that asked the sender for rest.
+        backoffs: servers that asked the sender for rest.
     """
 
     vm: str
@@ -121,7 +121,7 @@
     suspects: list[SuspectHint] = []
     held: int = 0
     leaving: list[LeavingHint] = []
-    rests: list[RestHint] = []
+    backoffs: list[BackoffHint] = []
 
 
 _ENCODER = msgspec.msgpack.Encoder()
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -137,7 +137,7 @@
         self._homes.hot.take(hints.hot, now)
         self._loads.take(hints, now)
         self._words.take(hints.leaving, now)
-        self._words.take_rests(hints.vm, hints.rests, now)
+        self._words.take_rests(hints.vm, hints.backoffs, now)
         self._answer_suspects(hints, host, now)
         if hints.failures:
             domain = self._members.find_failure_domain(hints.vm)
--- a/src/ramppin/gateway/process/routing/noticegossip.py
+++ b/src/ramppin/gateway/process/routing/noticegossip.py
@@ -13,7 +13,7 @@
 
 from collections.abc import Callable, Sequence
 
-from ramppin.gateway.connection.datagrams import LeavingHint, RestHint
+from ramppin.gateway.connection.datagrams import BackoffHint, LeavingHint
 from ramppin.gateway.process.membership.servernotices import WordSource
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.noticeregistry import MS_PER_S
@@ -85,7 +85,7 @@
         self._told_all_at[near] = now
         return self._describe(self._list_standing(), now)
 
-    def collect_rests(self, now: float) -> list[RestHint]:
+    def collect_rests(self, now: float) -> list[BackoffHint]:
         """Return the rests to tell in the next message to all VMs.
 
         Not those of servers that are passed over anyway, by what others told.
@@ -99,10 +99,10 @@
             until = state.words.find_rest_end(now) if state is not None else None
             if state is None or until is None or state.shedding.is_likely(now):
                 continue
-            hints.append(RestHint(server_id, round((until - now) * MS_PER_S)))
+            hints.append(BackoffHint(server_id, round((until - now) * MS_PER_S)))
         return hints[:SERVERS_PER_MESSAGE]
 
-    def take_rests(self, vm: str, hints: Sequence[RestHint], now: float) -> None:
+    def take_rests(self, vm: str, hints: Sequence[BackoffHint], now: float) -> None:
         """Take the rests that another VM was asked for.
 
         Args:
@@ -113,7 +113,7 @@
         for hint in hints:
             state = self._directory.find(hint.server)
             if state is not None:
-                state.shedding.note_told(vm, now + hint.left_ms / MS_PER_S)
+                state.shedding.note_told(vm, now + hint.remaining_ms / MS_PER_S)
 
     def take(self, hints: Sequence[LeavingHint], now: float) -> None:
         """Take what another VM tells.
