--- a/features/steps/gateway_load_steps.py
+++ b/features/steps/gateway_load_steps.py
@@ -11,7 +11,7 @@
 
 from features.gateway_support import read_names
 from ramppin.gateway.connection.datagrams import LoadHint, PeerHints, WaitHint
-from ramppin.gateway.process.load.news import LoadNews
+from ramppin.gateway.process.load.news import LoadGossip
 from ramppin.gateway.process.load.times import ServiceTimes
 from ramppin.gateway.process.load.view import measure_loads, weigh_mean
 from ramppin.gateway.process.membership.members import FleetMembers, MemberRecord
@@ -19,7 +19,7 @@
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.hints import BURST_DATAGRAMS, HintExchange
 from ramppin.gateway.process.routing.homes import PrefixHomes
-from ramppin.gateway.process.routing.servernews import ServerNews
+from ramppin.gateway.process.routing.servernews import FailureGossip
 from ramppin.gateway.process.routing.serverstate import BackendServer, ServerState
 
 NOW = 100.0
@@ -93,7 +93,7 @@
     [state] = directory
     if known != "none":
         state.note_load(3, 0, NOW - float(known))
-    LoadNews(directory).take_loads([LoadHint("s0", 9, round(told * 1000))], NOW)
+    LoadGossip(directory).take_loads([LoadHint("s0", 9, round(told * 1000))], NOW)
     assert state.find_known_load(NOW) == load
 
 
@@ -103,7 +103,7 @@
     directory = build_directory(len(words))
     for server_id, load in words:
         directory.find(server_id).note_load(int(load), 0, NOW)
-    found = LoadNews(directory).collect(NOW)
+    found = LoadGossip(directory).collect(NOW)
     assert sorted(hint.server for hint in found.near) == read_names(near), found
     assert sorted(hint.server for hint in found.far) == read_names(far), found
 
@@ -111,7 +111,7 @@
 @then("a VM tells its own report once, and none that it was told")
 def step_tell_once(context):
     directory = build_directory(2)
-    news = LoadNews(directory)
+    news = LoadGossip(directory)
     directory.find("s0").note_load(5, 1, NOW)
     news.take_loads([LoadHint("s1", 4, 10)], NOW)
     assert news.collect(NOW + 0.02).near == [LoadHint("s0", 6, 20)]
@@ -150,8 +150,8 @@
         1,
         members,
         PrefixHomes(directory.is_open),
-        ServerNews(directory, "here"),
-        LoadNews(directory),
+        FailureGossip(directory, "here"),
+        LoadGossip(directory),
     )
     # What is told in turn has just been told.
     hints.send_due(NOW)
@@ -245,7 +245,7 @@
     directory = build_directory(1)
     [state] = directory
     state.in_flight = 1
-    news = LoadNews(directory)
+    news = LoadGossip(directory)
     for text in read_names(told):
         vm, count, ago = text.split(":")
         hints = PeerHints(vm, [], waits=[WaitHint("s0", int(count))])
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -11,7 +11,7 @@
 from features.gateway_support import build_tree, read_names
 from ramppin.errors import LogUnavailableError
 from ramppin.gateway.connection.datagrams import PeerHints
-from ramppin.gateway.process.load.news import LoadNews
+from ramppin.gateway.process.load.news import LoadGossip
 from ramppin.gateway.process.membership.members import (
     FleetMembers,
     Member,
@@ -30,7 +30,7 @@
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.hints import HintExchange
 from ramppin.gateway.process.routing.homes import PrefixHomes
-from ramppin.gateway.process.routing.servernews import ServerNews
+from ramppin.gateway.process.routing.servernews import FailureGossip
 from ramppin.ranking import hash_name
 from standins.common import wait_for
 from standins.tables import TableStandIn
@@ -224,8 +224,8 @@
         1,
         members,
         PrefixHomes(lambda server: True),
-        ServerNews(ServerDirectory(), "a"),
-        LoadNews(ServerDirectory()),
+        FailureGossip(ServerDirectory(), "a"),
+        LoadGossip(ServerDirectory()),
         lambda now: is_up,
     )
     hints._told_log_up = not is_up
--- a/features/steps/gateway_server_rule_steps.py
+++ b/features/steps/gateway_server_rule_steps.py
@@ -17,7 +17,7 @@
 )
 from ramppin.gateway.connection.datagrams import FailureHint
 from ramppin.gateway.connection.reuse import choose_idle_limit_s, may_keep, may_reuse
-from ramppin.gateway.process.load.news import LoadNews
+from ramppin.gateway.process.load.news import LoadGossip
 from ramppin.gateway.process.membership.evidence import FleetEvidence
 from ramppin.gateway.process.membership.health import (
     UNRESPONSIVE_AFTER_S,
@@ -39,7 +39,7 @@
 from ramppin.gateway.process.routing.nearestselection import NearestSelection
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
 from ramppin.gateway.process.routing.selection import SelectionRequest
-from ramppin.gateway.process.routing.servernews import ServerNews
+from ramppin.gateway.process.routing.servernews import FailureGossip
 from ramppin.gateway.process.routing.serverstate import BackendServer, ServerState
 from ramppin.gateway.process.stalldetector import Turns
 from ramppin.ranking import RendezvousRanking
@@ -147,8 +147,8 @@
         entry = msgspec.json.encode(MemberRecord(f"10.0.0.{number}", "a"))
         members.take_record(Record(f"vm-{number}", entry, number), NOW)
     homes = PrefixHomes(lambda server: True)
-    news = ServerNews(ServerDirectory(), "a")
-    loads = LoadNews(ServerDirectory())
+    news = FailureGossip(ServerDirectory(), "a")
+    loads = LoadGossip(ServerDirectory())
     return HintExchange("vm", None, 1, members, homes, news, loads), homes
 
 
@@ -208,7 +208,7 @@
     directory = build_directory(" ".join(["0"] * count))
     for state in list(directory)[:failing]:
         state.health.note_outcome(Outcome.FAILED, NOW)
-    found = ServerNews(directory, "a").collect(NOW)
+    found = FailureGossip(directory, "a").collect(NOW)
     assert len(found) == told, found
     assert [state.evidence.is_bad("a", 0.1, NOW) for state in directory] == (
         [False] * count
@@ -228,7 +228,7 @@
 @then("{count:d} VMs that each see one failure find a server out after {needed:d}")
 def step_found_out(context, count, needed):
     directory = build_directory("0 0 0 0 0 0")
-    news = ServerNews(directory, "a")
+    news = FailureGossip(directory, "a")
     for number in range(1, count + 1):
         news.take([FailureHint("s0", 1)], "a", NOW + 0.01 * number)
         bad = find_bad_servers(list(directory), "a", 30.0, NOW + 0.01 * number)
@@ -238,7 +238,7 @@
 @then('a VM that was told of failures of "{server}" tells nothing')
 def step_tells_no_echo(context, server):
     directory = build_directory("1 1 1 1")
-    news = ServerNews(directory, "a")
+    news = FailureGossip(directory, "a")
     news.take([FailureHint(server, 5)], "a", NOW)
     assert directory.find(server).evidence.is_bad("a", 1.0, NOW)
     assert not news.collect(NOW + 0.1)
@@ -274,6 +274,6 @@
 @then("its overdue requests are not told, nor held once they are given up")
 def step_nothing_told(context):
     directory, now = context.directory, context.asked_at
-    assert not LoadNews(directory).collect(now).waits
+    assert not LoadGossip(directory).collect(now).waits
     directory.find("s0").note_ended("request", now)
     assert not directory.find("s0").count_held(now)
--- a/features/steps/platform_restart_steps.py
+++ b/features/steps/platform_restart_steps.py
@@ -14,7 +14,7 @@
     PeerHints,
     WaitHint,
 )
-from ramppin.gateway.process.load.news import LoadNews
+from ramppin.gateway.process.load.news import LoadGossip
 from ramppin.gateway.process.membership.health import Outcome
 from ramppin.gateway.process.routing.closure import (
     ClosureReason,
@@ -24,7 +24,7 @@
 from ramppin.gateway.process.routing.evacuation import Evacuations
 from ramppin.gateway.process.routing.homes import HomeNotice, PrefixHomes
 from ramppin.gateway.process.routing.incarnation import judge_start
-from ramppin.gateway.process.routing.servernews import ServerNews
+from ramppin.gateway.process.routing.servernews import FailureGossip
 from ramppin.gateway.process.routing.serverstate import BackendServer
 from standins.common import wait_for
 
@@ -85,8 +85,8 @@
     hints = PeerHints(
         "vm-2", [], loads=[LoadHint(old_id, 9, 0)], waits=[WaitHint(old_id, 4)]
     )
-    LoadNews(directory).take(hints, NOW)
-    ServerNews(directory, "porto").take([FailureHint(old_id, 9)], "porto", NOW)
+    LoadGossip(directory).take(hints, NOW)
+    FailureGossip(directory, "porto").take([FailureHint(old_id, 9)], "porto", NOW)
     context.homes.take_notice(HomeNotice(7, old_id, 1.0), NOW)
     assert context.new.find_known_load(NOW) == 0
     assert not context.new.evidence.is_bad("porto", 1.0, NOW)
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -30,7 +30,7 @@
 from ramppin.gateway.process.limits.drain import Drain
 from ramppin.gateway.process.limits.readiness import ReadinessResponder
 from ramppin.gateway.process.limits.retrybudget import RetryBudget
-from ramppin.gateway.process.load.news import LoadNews
+from ramppin.gateway.process.load.news import LoadGossip
 from ramppin.gateway.process.operations import GatewayState, OperationsResponder
 from ramppin.gateway.process.quarantine.news import QuarantineNews
 from ramppin.gateway.process.recovery.peeranswers import RecordsResponder
@@ -44,7 +44,7 @@
 from ramppin.gateway.process.routing.nearestselection import NearestSelection
 from ramppin.gateway.process.routing.noticegossip import WordNews
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
-from ramppin.gateway.process.routing.servernews import ServerNews
+from ramppin.gateway.process.routing.servernews import FailureGossip
 from ramppin.gateway.process.stalldetector import STALL_S, Turns
 from ramppin.gateway.request.responder import ExchangeResponder
 
@@ -161,8 +161,8 @@
             link.port,
             self.tables.members,
             self.homes,
-            ServerNews(self.context.directory, config.failure_domain),
-            LoadNews(self.context.directory),
+            FailureGossip(self.context.directory, config.failure_domain),
+            LoadGossip(self.context.directory),
             self.tables.contact.is_up,
             self._suspects,
             WordNews(self.context.directory),
--- a/src/ramppin/gateway/process/load/news.py
+++ b/src/ramppin/gateway/process/load/news.py
@@ -52,7 +52,7 @@
     waits: list[WaitHint]
 
 
-class LoadNews:
+class LoadGossip:
     """Collects the load reports and waits to tell, and takes those that others tell.
 
     Args:
--- a/src/ramppin/gateway/process/routing/servernews.py
+++ b/src/ramppin/gateway/process/routing/servernews.py
@@ -21,7 +21,7 @@
 likely to have bad links itself, and its word would eject servers that are well."""
 
 
-class ServerNews:
+class FailureGossip:
     """Collects the failures to tell, and takes those that others tell.
 
     Args:
