--- a/bench/vms/clock.py
+++ b/bench/vms/clock.py
@@ -16,14 +16,14 @@
 
 from bench.vms.result import Tally
 from ramppin.gateway.connection.datagrams import PeerHints
-from ramppin.gateway.process.load.news import LoadGossip
+from ramppin.gateway.process.load.gossip import LoadGossip
 from ramppin.gateway.process.membership.members import FleetMembers, MemberRecord
 from ramppin.gateway.process.recovery.replica import Record
 from ramppin.gateway.process.routing.directory import ServerDirectory
+from ramppin.gateway.process.routing.failuregossip import FailureGossip
 from ramppin.gateway.process.routing.hints import SHORTEST_PERIOD_S, HintExchange
 from ramppin.gateway.process.routing.homes import PrefixHomes
 from ramppin.gateway.process.routing.noticegossip import WordNews
-from ramppin.gateway.process.routing.servernews import FailureGossip
 
 LATENCY_S = 0.001
 """One way between two VMs, or a VM and a server."""
--- a/features/steps/gateway_load_steps.py
+++ b/features/steps/gateway_load_steps.py
@@ -11,15 +11,15 @@
 
 from features.gateway_support import read_names
 from ramppin.gateway.connection.datagrams import LoadHint, PeerHints, WaitHint
-from ramppin.gateway.process.load.news import LoadGossip
+from ramppin.gateway.process.load.gossip import LoadGossip
 from ramppin.gateway.process.load.times import ServiceTimes
 from ramppin.gateway.process.load.view import measure_loads, weigh_mean
 from ramppin.gateway.process.membership.members import FleetMembers, MemberRecord
 from ramppin.gateway.process.recovery.replica import Record
 from ramppin.gateway.process.routing.directory import ServerDirectory
+from ramppin.gateway.process.routing.failuregossip import FailureGossip
 from ramppin.gateway.process.routing.hints import BURST_DATAGRAMS, HintExchange
 from ramppin.gateway.process.routing.homes import PrefixHomes
-from ramppin.gateway.process.routing.servernews import FailureGossip
 from ramppin.gateway.process.routing.serverstate import BackendServer, ServerState
 
 NOW = 100.0
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -11,7 +11,7 @@
 from features.gateway_support import build_tree, read_names
 from ramppin.errors import LogUnavailableError
 from ramppin.gateway.connection.datagrams import PeerHints
-from ramppin.gateway.process.load.news import LoadGossip
+from ramppin.gateway.process.load.gossip import LoadGossip
 from ramppin.gateway.process.membership.members import (
     FleetMembers,
     Member,
@@ -28,9 +28,9 @@
 from ramppin.gateway.process.recovery.sources import RecordBatch
 from ramppin.gateway.process.reporting.metrics import GatewayMetrics
 from ramppin.gateway.process.routing.directory import ServerDirectory
+from ramppin.gateway.process.routing.failuregossip import FailureGossip
 from ramppin.gateway.process.routing.hints import HintExchange
 from ramppin.gateway.process.routing.homes import PrefixHomes
-from ramppin.gateway.process.routing.servernews import FailureGossip
 from ramppin.ranking import hash_name
 from standins.common import wait_for
 from standins.tables import TableStandIn
--- a/features/steps/gateway_server_rule_steps.py
+++ b/features/steps/gateway_server_rule_steps.py
@@ -17,7 +17,7 @@
 )
 from ramppin.gateway.connection.datagrams import FailureHint
 from ramppin.gateway.connection.reuse import choose_idle_limit_s, may_keep, may_reuse
-from ramppin.gateway.process.load.news import LoadGossip
+from ramppin.gateway.process.load.gossip import LoadGossip
 from ramppin.gateway.process.membership.evidence import FleetEvidence
 from ramppin.gateway.process.membership.health import (
     UNRESPONSIVE_AFTER_S,
@@ -34,12 +34,12 @@
     find_bad_servers,
     list_eligible,
 )
+from ramppin.gateway.process.routing.failuregossip import FailureGossip
 from ramppin.gateway.process.routing.hints import HintExchange
 from ramppin.gateway.process.routing.homes import PrefixHomes
 from ramppin.gateway.process.routing.nearestselection import NearestSelection
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
 from ramppin.gateway.process.routing.selection import SelectionRequest
-from ramppin.gateway.process.routing.servernews import FailureGossip
 from ramppin.gateway.process.routing.serverstate import BackendServer, ServerState
 from ramppin.gateway.process.stalldetector import Turns
 from ramppin.ranking import RendezvousRanking
--- a/features/steps/platform_restart_steps.py
+++ b/features/steps/platform_restart_steps.py
@@ -14,7 +14,7 @@
     PeerHints,
     WaitHint,
 )
-from ramppin.gateway.process.load.news import LoadGossip
+from ramppin.gateway.process.load.gossip import LoadGossip
 from ramppin.gateway.process.membership.health import Outcome
 from ramppin.gateway.process.routing.closure import (
     ClosureReason,
@@ -22,9 +22,9 @@
 )
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.evacuation import Evacuations
+from ramppin.gateway.process.routing.failuregossip import FailureGossip
 from ramppin.gateway.process.routing.homes import HomeNotice, PrefixHomes
 from ramppin.gateway.process.routing.incarnation import judge_start
-from ramppin.gateway.process.routing.servernews import FailureGossip
 from ramppin.gateway.process.routing.serverstate import BackendServer
 from standins.common import wait_for
 
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -30,7 +30,7 @@
 from ramppin.gateway.process.limits.drain import Drain
 from ramppin.gateway.process.limits.readiness import ReadinessResponder
 from ramppin.gateway.process.limits.retrybudget import RetryBudget
-from ramppin.gateway.process.load.news import LoadGossip
+from ramppin.gateway.process.load.gossip import LoadGossip
 from ramppin.gateway.process.operations import GatewayState, OperationsResponder
 from ramppin.gateway.process.quarantine.news import QuarantineNews
 from ramppin.gateway.process.recovery.peeranswers import RecordsResponder
@@ -39,12 +39,12 @@
 from ramppin.gateway.process.reporting.noticelines import WordLines
 from ramppin.gateway.process.reporting.quarantinelines import note_quarantine
 from ramppin.gateway.process.routing.directory import ServerDirectory
+from ramppin.gateway.process.routing.failuregossip import FailureGossip
 from ramppin.gateway.process.routing.hints import HintExchange
 from ramppin.gateway.process.routing.homes import PrefixHomes
 from ramppin.gateway.process.routing.nearestselection import NearestSelection
 from ramppin.gateway.process.routing.noticegossip import WordNews
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
-from ramppin.gateway.process.routing.servernews import FailureGossip
 from ramppin.gateway.process.stalldetector import STALL_S, Turns
 from ramppin.gateway.request.responder import ExchangeResponder
 
--- a/src/ramppin/gateway/process/load/estimate.py
+++ b/src/ramppin/gateway/process/load/estimate.py
@@ -1,7 +1,7 @@
 """What is known about the load of one backend server.
 
 Owns the newest report of it: of an answer that this VM got, or told by another VM
-(:mod:`~.news`). A load is known for a moment only: what a server held then ends one
+(:mod:`~.gossip`). A load is known for a moment only: what a server held then ends one
 request after the other, and others come. So a report counts less the older it is, and
 the mean of all servers takes its place. No I/O.
 """
--- a/src/ramppin/gateway/process/load/waiting.py
+++ b/src/ramppin/gateway/process/load/waiting.py
@@ -2,7 +2,7 @@
 
 A server that goes silent fills up unseen: it reports nothing, and each of many VMs has
 one request there or none. So each VM tells the others how many of its requests wait
-longer than is usual (:mod:`~.news`), and what is told counts as held. Owns the times of
+longer than is usual (:mod:`~.gossip`), and what is told counts as held. Owns the times of
 the last bytes for this VM's own requests at the server, and what others told of theirs.
 No I/O.
 """
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -19,14 +19,14 @@
     PeerHints,
     WaitHint,
 )
-from ramppin.gateway.process.load.news import LoadGossip
+from ramppin.gateway.process.load.gossip import LoadGossip
 from ramppin.gateway.process.membership.members import FleetMembers
 from ramppin.gateway.process.quarantine.news import QuarantineNews
 from ramppin.gateway.process.quarantine.quarantine import Quarantine
 from ramppin.gateway.process.routing.directory import ServerDirectory
+from ramppin.gateway.process.routing.failuregossip import FailureGossip
 from ramppin.gateway.process.routing.homes import HomeNotice, PrefixHomes
 from ramppin.gateway.process.routing.noticegossip import WordNews
-from ramppin.gateway.process.routing.servernews import FailureGossip
 
 SHORTEST_PERIOD_S = 0.08
 """Seconds between two messages to all VMs."""
