--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -29,7 +29,7 @@
     list_eligible,
     share_connections,
 )
-from ramppin.gateway.process.routing.homes import HomeNotice, PrefixHomes
+from ramppin.gateway.process.routing.homes import HomeAnnouncement, PrefixHomes
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
 from ramppin.gateway.process.routing.selection import SelectionRequest
 from ramppin.gateway.process.routing.serverstate import BackendServer
@@ -137,7 +137,7 @@
     for order in itertools.permutations(announced):
         homes = build_homes({"first", "second"})
         for server, age_s in order:
-            homes.take_notice(HomeNotice(key, server, age_s), 100.0)
+            homes.apply_announcement(HomeAnnouncement(key, server, age_s), 100.0)
         assert homes.find(key) == end, order
 
 
--- a/features/steps/gateway_knowledge_rule_steps.py
+++ b/features/steps/gateway_knowledge_rule_steps.py
@@ -20,7 +20,7 @@
     list_candidates,
 )
 from ramppin.gateway.process.recovery.relayrules import RelayTimes, choose_own_relay
-from ramppin.gateway.process.routing.homes import HomeNotice, PrefixHomes
+from ramppin.gateway.process.routing.homes import HomeAnnouncement, PrefixHomes
 from ramppin.ranking import hash_name, mix
 
 NOW = 100.0
@@ -80,8 +80,8 @@
 def step_home_wins(context, theirs, ours, wins):
     for key in range(50):
         homes = PrefixHomes(lambda server: True)
-        homes.take_notice(HomeNotice(key, "ours", ours), NOW)
-        homes.take_notice(HomeNotice(key, "theirs", theirs), NOW)
+        homes.apply_announcement(HomeAnnouncement(key, "ours", ours), NOW)
+        homes.apply_announcement(HomeAnnouncement(key, "theirs", theirs), NOW)
         ranks = [mix(key, hash_name(name)) for name in ("theirs", "ours")]
         expected = "theirs" if WINNERS[wins](*ranks) else "ours"
         assert homes.find(key) == expected, key
--- a/features/steps/platform_restart_steps.py
+++ b/features/steps/platform_restart_steps.py
@@ -23,7 +23,7 @@
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.evacuation import Evacuations
 from ramppin.gateway.process.routing.failuregossip import FailureGossip
-from ramppin.gateway.process.routing.homes import HomeNotice, PrefixHomes
+from ramppin.gateway.process.routing.homes import HomeAnnouncement, PrefixHomes
 from ramppin.gateway.process.routing.incarnation import judge_start
 from ramppin.gateway.process.routing.serverstate import BackendServer
 from standins.common import wait_for
@@ -87,7 +87,7 @@
     )
     LoadGossip(directory).take(hints, NOW)
     FailureGossip(directory, "porto").take([FailureHint(old_id, 9)], "porto", NOW)
-    context.homes.take_notice(HomeNotice(7, old_id, 1.0), NOW)
+    context.homes.apply_announcement(HomeAnnouncement(7, old_id, 1.0), NOW)
     assert context.new.find_known_load(NOW) == 0
     assert not context.new.evidence.is_bad("porto", 1.0, NOW)
     assert context.homes.find(7) is None
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -25,7 +25,7 @@
 from ramppin.gateway.process.quarantine.quarantine import Quarantine
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.failuregossip import FailureGossip
-from ramppin.gateway.process.routing.homes import HomeNotice, PrefixHomes
+from ramppin.gateway.process.routing.homes import HomeAnnouncement, PrefixHomes
 from ramppin.gateway.process.routing.noticegossip import WordNews
 
 SHORTEST_PERIOD_S = 0.08
@@ -132,8 +132,8 @@
         if not known:
             return
         for hint in hints.homes:
-            notice = HomeNotice(hint.key, hint.server, hint.age_ms / 1000)
-            self._homes.take_notice(notice, now)
+            notice = HomeAnnouncement(hint.key, hint.server, hint.age_ms / 1000)
+            self._homes.apply_announcement(notice, now)
         self._homes.hot.take(hints.hot, now)
         self._loads.take(hints, now)
         self._words.take(hints.leaving, now)
@@ -186,7 +186,7 @@
 
     def _send(self, now: float) -> None:
         """Send what is new to all VMs, or a heartbeat to those it is due to."""
-        notices = self._homes.collect_notices(now, HINTS_PER_DATAGRAM)
+        notices = self._homes.collect_announcements(now, HINTS_PER_DATAGRAM)
         homes = [
             HomeHint(notice.key, notice.server, int(notice.age_s * 1000))
             for notice in notices
--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HomeNotice:
+class HomeAnnouncement:
     """A VM's announcement of a home.
 
     Attributes:
@@ -113,7 +113,7 @@
             home.announced_at = now
             self._notices[key] = home
 
-    def take_notice(self, notice: HomeNotice, now: float) -> None:
+    def apply_announcement(self, notice: HomeAnnouncement, now: float) -> None:
         """Take another VM's announcement."""
         if not self._is_usable(notice.server):
             return
@@ -131,21 +131,21 @@
         else:
             self._notices[notice.key] = ours
 
-    def collect_notices(self, now: float, limit: int) -> list[HomeNotice]:
+    def collect_announcements(self, now: float, limit: int) -> list[HomeAnnouncement]:
         """Return what should be announced now, at most ``limit`` homes."""
         keys = list(self._notices)[:limit]
         self.has_placed = self.has_placed and len(self._notices) > limit
         return [
-            HomeNotice(key, home.server, max(0.0, now - home.placed_at))
+            HomeAnnouncement(key, home.server, max(0.0, now - home.placed_at))
             for key in keys
             if (home := self._notices.pop(key))
         ]
 
-    def list_newest(self, now: float, limit: int) -> list[HomeNotice]:
+    def list_newest(self, now: float, limit: int) -> list[HomeAnnouncement]:
         """Return the usable homes that were placed or announced last."""
         found = [*reversed(self._young.items()), *reversed(self._old.items())]
         return [
-            HomeNotice(key, home.server, max(0.0, now - home.placed_at))
+            HomeAnnouncement(key, home.server, max(0.0, now - home.placed_at))
             for key, home in found[:limit]
             if self._is_usable(home.server)
         ]
--- a/src/ramppin/gateway/process/routing/homesnapshot.py
+++ b/src/ramppin/gateway/process/routing/homesnapshot.py
@@ -22,7 +22,7 @@
 from ramppin.gateway.process.quarantine.news import QuarantineNews
 from ramppin.gateway.process.quarantine.quarantine import Quarantine
 from ramppin.gateway.process.recovery.sources import RecordLog
-from ramppin.gateway.process.routing.homes import HomeNotice, PrefixHomes
+from ramppin.gateway.process.routing.homes import HomeAnnouncement, PrefixHomes
 from ramppin.ranking import rank_vms
 
 LOG = logging.getLogger(__name__)
@@ -149,7 +149,9 @@
         for hint in snapshot.homes:
             # The writer's age is a lower limit; it is older by now.
             age_s = hint.age_ms / 1000 + SNAPSHOT_PERIOD_S
-            self._homes.take_notice(HomeNotice(hint.key, hint.server, age_s), now)
+            self._homes.apply_announcement(
+                HomeAnnouncement(hint.key, hint.server, age_s), now
+            )
 
     def _is_writer(self) -> bool:
         now = asyncio.get_running_loop().time()
