--- a/src/ramppin/gateway/process/load/gossip.py
+++ b/src/ramppin/gateway/process/load/gossip.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadNotices:
+class LoadUpdates:
     """Reports to tell.
 
     Attributes:
@@ -66,7 +66,7 @@
         self._told_waits: dict[str, int] = {}
         self._waits_told_at = NEVER
 
-    def collect(self, now: float) -> LoadNotices:
+    def collect(self, now: float) -> LoadUpdates:
         """Return what is news since the last call: own answers' reports, and waits."""
         fresh = [state for state in self._directory if state.load.take_untold()]
         fresh.sort(key=lambda state: -state.load.requests)
@@ -77,7 +77,7 @@
             for state in self._list_high(service, now)
         }
         far = [hint for hint in near if hint.server in high]
-        return LoadNotices(near, far, self._collect_waits(now))
+        return LoadUpdates(near, far, self._collect_waits(now))
 
     def take(self, hints: PeerHints, now: float) -> None:
         """Take what another VM tells of loads."""
