--- a/features/steps/gateway_knowledge_rule_steps.py
+++ b/features/steps/gateway_knowledge_rule_steps.py
@@ -92,7 +92,7 @@
 
 @then("{passed:g} s into a planned stop a request of {limit:g} s is taken: {taken}")
 def step_take(context, passed, limit, taken):
-    assert Drain(DrainTimes(), NOW).may_take(limit, NOW + passed) is is_yes(taken)
+    assert Drain(DrainTimes(), NOW).may_accept(limit, NOW + passed) is is_yes(taken)
 
 
 @then("in a planned stop a connection that is {age:g} s old may be closed: {closed}")
--- a/features/steps/gateway_stop_steps.py
+++ b/features/steps/gateway_stop_steps.py
@@ -49,7 +49,7 @@
         drain = context.fixture.gateway.context.drain
         loop = asyncio.get_running_loop()
         await wait_for(
-            lambda: not drain.may_take(10.0, loop.time()), "late in the stop"
+            lambda: not drain.may_accept(10.0, loop.time()), "late in the stop"
         )
 
     run(context, stop())
@@ -57,7 +57,7 @@
 
 @then("a connection of {age:g} s that is idle is {fate} {passed:g} s after the stop")
 def step_resting(context, age, fate, passed):
-    times = DrainTimes(settle_s=2.3, fresh_s=0.5)
+    times = DrainTimes(detection_s=2.3, min_close_age_s=0.5)
     drain = Drain(times, started=0.0)
     assert drain.may_close(passed - age, passed) == (fate == "closed")
 
--- a/features/steps/gateway_wire_steps.py
+++ b/features/steps/gateway_wire_steps.py
@@ -43,7 +43,9 @@
 
 @given("a gateway with short drain times before two plain servers")
 def step_plain_short(context):
-    times = DrainTimes(settle_s=0.3, take_s=0.5, fresh_s=2.0, limit_s=5.0)
+    times = DrainTimes(
+        detection_s=0.3, accept_all_s=0.5, min_close_age_s=2.0, limit_s=5.0
+    )
     context.fixture = run(
         context, build_gateway(context, [("p1", "plain"), ("p2", "plain")], times)
     )
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -214,7 +214,7 @@
         self.stopped.set()
 
     async def _finish_and_stop(self, drain: Drain) -> None:
-        await drain.wait_until_empty(self.context.listener)
+        await drain.wait_until_closed(self.context.listener)
         await self.stop()
 
     # listeners
--- a/src/ramppin/gateway/process/limits/drain.py
+++ b/src/ramppin/gateway/process/limits/drain.py
@@ -15,14 +15,14 @@
 POLL_S = 0.05
 """Seconds between two checks of whether every connection has ended."""
 
-SETTLE_S = 2.3
+DETECTION_S = 2.3
 """Seconds until the balancer has noticed: it asks each VM once a second and gives it no
 new connections after two misses."""
 
-FRESH_S = 0.5
+MIN_CLOSE_AGE_S = 0.5
 """Seconds for which a new connection is left open: its first request is on the way."""
 
-TAKE_S = 2.9
+ACCEPT_ALL_S = 2.9
 """Seconds in which every request is taken. Later ones that could not end in time cut
 streams at the limit, on 6 of 40 days of random trouble."""
 
@@ -36,19 +36,19 @@
     """How long the parts of a planned stop take, in seconds from its start.
 
     Attributes:
-        settle_s: until the balancer has noticed. Connections stay open so long,
+        detection_s: until the balancer has noticed. Connections stay open so long,
             and each answer asks its caller to close; then idle ones are closed.
-        fresh_s: age below which an idle connection is not closed: its first
+        min_close_age_s: age below which an idle connection is not closed: its first
             request is on the way.
-        take_s: until every request is taken. Later ones are taken only if their
+        accept_all_s: until every request is taken. Later ones are taken only if their
             time limit ends before the stop: the balancer still sends some while
             most VMs of a failure domain stop together.
         limit_s: until the process ends in any case.
     """
 
-    settle_s: float = SETTLE_S
-    fresh_s: float = FRESH_S
-    take_s: float = TAKE_S
+    detection_s: float = DETECTION_S
+    min_close_age_s: float = MIN_CLOSE_AGE_S
+    accept_all_s: float = ACCEPT_ALL_S
     limit_s: float = LIMIT_S
 
 
@@ -66,7 +66,7 @@
         self._times = times
         self._started = started
 
-    def may_take(self, time_limit_s: float, now: float) -> bool:
+    def may_accept(self, time_limit_s: float, now: float) -> bool:
         """Return whether a request that arrives now will end in time.
 
         Args:
@@ -74,15 +74,15 @@
             now: the loop's time.
         """
         passed = now - self._started
-        if passed < self._times.take_s:
+        if passed < self._times.accept_all_s:
             return True
         return passed + time_limit_s <= self._times.limit_s
 
-    async def wait_until_empty(self, state: ListenerState) -> None:
+    async def wait_until_closed(self, state: ListenerState) -> None:
         """Wait until every connection has ended, or the limit is reached."""
         loop = asyncio.get_running_loop()
         while (passed := loop.time() - self._started) < self._times.limit_s:
-            if passed >= self._times.settle_s:
+            if passed >= self._times.detection_s:
                 self._close_idle(state, loop.time())
                 if not state.connections:
                     return
@@ -100,4 +100,4 @@
             opened_at: the loop's time at which it was opened.
             now: the loop's time.
         """
-        return now - opened_at >= self._times.fresh_s
+        return now - opened_at >= self._times.min_close_age_s
--- a/src/ramppin/gateway/request/admission.py
+++ b/src/ramppin/gateway/request/admission.py
@@ -118,7 +118,7 @@
     deadline_s = parse_deadline(deadline)
     limits_s = [route.time_limit_s, deadline_s]
     time_limit_s = min(limit_s for limit_s in limits_s if limit_s is not None)
-    if drain is not None and not drain.may_take(time_limit_s, now):
+    if drain is not None and not drain.may_accept(time_limit_s, now):
         return Denial.STOPPING
     parts = request.find(names.prompt_parts)
     prefix_key = hash_prefix(parts) if parts and route.keeps_prefix else None
