--- a/features/steps/quarantine_rule_steps.py
+++ b/features/steps/quarantine_rule_steps.py
@@ -273,7 +273,7 @@
     old = msgspec.msgpack.encode(["vm-1", [[9, "i-1", 40]], True, [], [], [], []])
     hints = msgspec.msgpack.decode(old, type=PeerHints)
     assert hints.suspects == []
-    assert hints.held == 0
+    assert hints.quarantine_digest == 0
 
 
 OldHints = msgspec.defstruct(
@@ -283,7 +283,9 @@
 
 @then("a message with suspects is read by a VM that does not know them")
 def step_new_message(context):
-    new = PeerHints("vm-1", [HomeHint(9, "i-1", 40)], suspects=[SuspectHint(8)], held=8)
+    new = PeerHints(
+        "vm-1", [HomeHint(9, "i-1", 40)], suspects=[SuspectHint(8)], quarantine_digest=8
+    )
     found = msgspec.msgpack.decode(msgspec.msgpack.encode(new), type=OldHints)
     assert found.homes == new.homes
 
--- a/src/ramppin/gateway/connection/datagrams.py
+++ b/src/ramppin/gateway/connection/datagrams.py
@@ -106,7 +106,7 @@
         waits: of servers that keep the sender's requests waiting, or no longer do.
         hot: keys of prefixes that need more servers than their home.
         suspects: requests under which servers ended, or that ran well since.
-        held: one number for all requests that the sender refuses.
+        quarantine_digest: one number for all requests that the sender refuses.
         leaving: servers that said in answers that they leave.
         backoffs: servers that asked the sender for rest.
     """
@@ -119,7 +119,7 @@
     waits: list[WaitHint] = []
     hot: list[int] = []
     suspects: list[SuspectHint] = []
-    held: int = 0
+    quarantine_digest: int = 0
     leaving: list[LeavingHint] = []
     backoffs: list[BackoffHint] = []
 
@@ -132,13 +132,13 @@
     """Sends and receives hints.
 
     Args:
-        take: called with each message and its sender's IP address.
+        on_message: called with each message and its sender's IP address.
 
     .. versionadded:: 0.2
     """
 
-    def __init__(self, take: Callable[[PeerHints, str], None]) -> None:
-        self._take = take
+    def __init__(self, on_message: Callable[[PeerHints, str], None]) -> None:
+        self._on_message = on_message
         self._transport: asyncio.DatagramTransport | None = None
 
     @property
@@ -149,12 +149,12 @@
 
     @classmethod
     async def open(
-        cls, host: str, port: int, take: Callable[[PeerHints, str], None]
+        cls, host: str, port: int, on_message: Callable[[PeerHints, str], None]
     ) -> DatagramLink:
         """Open a link on an address."""
         loop = asyncio.get_running_loop()
         _, link = await loop.create_datagram_endpoint(
-            lambda: cls(take), local_addr=(host, port)
+            lambda: cls(on_message), local_addr=(host, port)
         )
         return link
 
@@ -170,7 +170,7 @@
         except msgspec.MsgspecError:
             LOG.info("a datagram is not a hint, dropped", extra={"peer": addr[0]})
             return
-        self._take(hints, addr[0])
+        self._on_message(hints, addr[0])
 
     def error_received(self, exc: Exception) -> None:
         """Log what the network reports; hints may be lost."""
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -238,13 +238,15 @@
     def _build_load_hints(
         self, loads: list[LoadHint], waits: list[WaitHint]
     ) -> PeerHints:
-        held = self._suspects.digest
-        return PeerHints(self._vm, [], self._told_log_up, [], loads, waits, held=held)
+        digest = self._suspects.digest
+        return PeerHints(
+            self._vm, [], self._told_log_up, [], loads, waits, quarantine_digest=digest
+        )
 
     def _answer_suspects(self, hints: PeerHints, host: str, now: float) -> None:
         """Take what a VM knows of suspects, and tell it alone what it lacks."""
         outdated = self._suspects.take(hints.suspects, now)
-        messages = self._suspects.reply(host, hints.held, now)
+        messages = self._suspects.reply(host, hints.quarantine_digest, now)
         if outdated:
             messages.append(outdated)
         for suspects in messages:
@@ -253,7 +255,7 @@
                 [],
                 self._told_log_up,
                 suspects=suspects,
-                held=self._suspects.digest,
+                quarantine_digest=self._suspects.digest,
             )
             self._link.send(hints, [host], self._port)
 
