--- a/src/ramppin/gateway/connection/callerwire.py
+++ b/src/ramppin/gateway/connection/callerwire.py
@@ -27,7 +27,7 @@
     RequestReader,
     RequestTaker,
 )
-from ramppin.gateway.connection.silence import FROM_CALLERS, limit_silence
+from ramppin.gateway.connection.tcptimeouts import FROM_CALLERS, limit_silence
 from ramppin.gateway.version.routing import CallerLimits
 
 MAX_QUEUED = 2
--- a/src/ramppin/gateway/connection/upstream.py
+++ b/src/ramppin/gateway/connection/upstream.py
@@ -17,7 +17,7 @@
 
 from ramppin.errors import BrokenAnswerError, NotSentError
 from ramppin.gateway.connection.httpwire import Headers, find_header
-from ramppin.gateway.connection.silence import TO_SERVERS, limit_silence
+from ramppin.gateway.connection.tcptimeouts import TO_SERVERS, limit_silence
 
 NO_BODY_STATUSES = frozenset({204, 304})
 """Statuses whose answers have no body (RFC 9112, section 6.3)."""
