--- a/features/steps/gateway_silence_steps.py
+++ b/features/steps/gateway_silence_steps.py
@@ -100,8 +100,8 @@
         dead.send(b"GET / HTTP/1.1\r\n\r\n", b"", receiver)
         dead.connection_lost(TimeoutError(errno.ETIMEDOUT, "timed out"))
         assert receiver.error is not None
-        assert dead.was_silent
-        pool.note_silent(dead)
+        assert dead.was_timed_out
+        pool.note_timed_out(dead)
 
     run(context, go_silent())
 
--- a/src/ramppin/gateway/connection/callerwire.py
+++ b/src/ramppin/gateway/connection/callerwire.py
@@ -27,7 +27,7 @@
     RequestReader,
     RequestTaker,
 )
-from ramppin.gateway.connection.tcptimeouts import FROM_CALLERS, limit_silence
+from ramppin.gateway.connection.tcptimeouts import CALLER_TIMEOUTS, set_tcp_timeouts
 from ramppin.gateway.version.routing import CallerLimits
 
 MAX_QUEUED = 2
@@ -126,7 +126,7 @@
         """Begin to be idle."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        limit_silence(transport, FROM_CALLERS)
+        set_tcp_timeouts(transport, CALLER_TIMEOUTS)
         self._state.connections.add(self)
         self._begin_idle()
 
--- a/src/ramppin/gateway/connection/pool.py
+++ b/src/ramppin/gateway/connection/pool.py
@@ -70,7 +70,7 @@
         self.opened += 1
         return await open_connection(host, port, peer, timeout_s=CONNECT_TIMEOUT_S)
 
-    def note_silent(self, connection: UpstreamConnection) -> int:
+    def note_timed_out(self, connection: UpstreamConnection) -> int:
         """Close what rests to the peer of a connection that went silent.
 
         What took one connection to a peer took most likely those that rested beside
--- a/src/ramppin/gateway/connection/tcptimeouts.py
+++ b/src/ramppin/gateway/connection/tcptimeouts.py
@@ -14,36 +14,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SilenceLimits:
+class TcpTimeouts:
     """How long a peer's kernel may be silent.
 
     Attributes:
         unacknowledged_ms: time after which bytes without acknowledgement end the
             connection, in milliseconds.
         idle_s: time without a byte after which the peer is probed, in seconds.
-        probe_s: time between two probes, in seconds.
-        probes: probes without an answer that end the connection.
+        probe_interval_s: time between two probes, in seconds.
+        max_probes: probes without an answer that end the connection.
     """
 
     unacknowledged_ms: int
     idle_s: int
-    probe_s: int
-    probes: int
+    probe_interval_s: int
+    max_probes: int
 
 
-TO_SERVERS = SilenceLimits(unacknowledged_ms=1_000, idle_s=2, probe_s=1, probes=2)
+UPSTREAM_TIMEOUTS = TcpTimeouts(
+    unacknowledged_ms=1_000, idle_s=2, probe_interval_s=1, max_probes=2
+)
 """To backend servers, peers and the log. A stream's caller leaves after 2 s without an
 event: a request on a dead connection must be sent again before. Over a link that loses
 3 in 100 packets three sends of a second are lost once in some 40,000 requests. A dead
 connection that awaits an answer is found out after 3 to 4 s, as is an idle one."""
 
-FROM_CALLERS = SilenceLimits(unacknowledged_ms=10_000, idle_s=10, probe_s=5, probes=3)
+CALLER_TIMEOUTS = TcpTimeouts(
+    unacknowledged_ms=10_000, idle_s=10, probe_interval_s=5, max_probes=3
+)
 """From callers: only what a dead caller holds is at stake, a server's work on a stream
 that no one reads and this VM's memory. Found out after 10 s of an unread stream, or
 after 20 to 25 s of silence."""
 
 
-def limit_silence(transport: asyncio.BaseTransport, limits: SilenceLimits) -> None:
+def set_tcp_timeouts(transport: asyncio.BaseTransport, timeouts: TcpTimeouts) -> None:
     """Let the kernel end a connection whose peer is silent.
 
     Only a limit for dead peers: a connection without it works as well.
@@ -53,10 +57,10 @@
         return
     with contextlib.suppress(OSError):
         for level, name, value in (
-            (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limits.unacknowledged_ms),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, limits.idle_s),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, limits.probe_s),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, limits.probes),
+            (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeouts.unacknowledged_ms),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, timeouts.idle_s),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, timeouts.probe_interval_s),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, timeouts.max_probes),
             (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         ):
             raw.setsockopt(level, name, value)
--- a/src/ramppin/gateway/connection/upstream.py
+++ b/src/ramppin/gateway/connection/upstream.py
@@ -17,7 +17,7 @@
 
 from ramppin.errors import BrokenAnswerError, NotSentError
 from ramppin.gateway.connection.httpwire import Headers, find_header
-from ramppin.gateway.connection.tcptimeouts import TO_SERVERS, limit_silence
+from ramppin.gateway.connection.tcptimeouts import UPSTREAM_TIMEOUTS, set_tcp_timeouts
 
 NO_BODY_STATUSES = frozenset({204, 304})
 """Statuses whose answers have no body (RFC 9112, section 6.3)."""
@@ -69,7 +69,7 @@
         idle_since: the loop's time at which the last answer ended.
         keep_alive_s: seconds for which the server said that it keeps the connection
             idle; None if it did not say.
-        was_silent: whether it ended because the peer acknowledged nothing.
+        was_timed_out: whether it ended because the peer acknowledged nothing.
         was_lost: whether it ended otherwise while a request was in flight.
 
     .. versionadded:: 0.2
@@ -79,7 +79,7 @@
         self.peer = peer
         self.idle_since = 0.0
         self.keep_alive_s: float | None = None
-        self.was_silent = False
+        self.was_timed_out = False
         self.was_lost = False
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
@@ -108,7 +108,7 @@
         """Keep the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        limit_silence(transport, TO_SERVERS)
+        set_tcp_timeouts(transport, UPSTREAM_TIMEOUTS)
 
     def data_received(self, data: bytes) -> None:
         """Parse bytes of the answer."""
@@ -135,8 +135,8 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the request in flight."""
         self._reusable = False
-        self.was_silent = isinstance(exc, OSError) and exc.errno == errno.ETIMEDOUT
-        self.was_lost = self._receiver is not None and not self.was_silent
+        self.was_timed_out = isinstance(exc, OSError) and exc.errno == errno.ETIMEDOUT
+        self.was_lost = self._receiver is not None and not self.was_timed_out
         self._fail(f"connection lost: {exc or 'closed by the peer'}")
 
     # the caller's side
--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -237,8 +237,8 @@
             if result.end is AttemptEnd.DELIVERED:
                 state.times.stay.note(self._loop.time() - started)
             result.lost = connection.was_lost or state.restarted
-            if connection.was_silent:
-                self._context.pool.note_silent(connection)
+            if connection.was_timed_out:
+                self._context.pool.note_timed_out(connection)
             share = self._context.share_connections(admission.service)
             spare = None if share is None else share - state.in_flight
             self._context.pool.release(connection, spare_connections=spare)
