--- a/src/ramppin/gateway/process/limits/coldquota.py
+++ b/src/ramppin/gateway/process/limits/coldquota.py
@@ -23,7 +23,7 @@
 """Seconds of a window. Any second touches two at the most; in shorter ones a VM more
 often has nothing to send while it has a place."""
 
-WINDOWS_TOUCHED = 2
+WINDOWS_PER_SECOND = 2
 """Windows whose requests may all reach a server within one second."""
 
 
@@ -45,8 +45,8 @@
         As many as the rate gives, and so few that what windows allow in one second is
         borne; one at the least, in a window that is long enough for it.
         """
-        borne = per_s * self.overage + self.slack
-        return max(1, int(min(per_s * WINDOW_S, borne / WINDOWS_TOUCHED)))
+        tolerated = per_s * self.overage + self.slack
+        return max(1, int(min(per_s * WINDOW_S, tolerated / WINDOWS_PER_SECOND)))
 
 
 @dataclass(slots=True)
--- a/src/ramppin/gateway/process/limits/retrybudget.py
+++ b/src/ramppin/gateway/process/limits/retrybudget.py
@@ -74,12 +74,12 @@
     def note_request(self, now: float) -> None:
         """Note a request of a caller."""
         self._requests.append(now)
-        self._forget(self._requests, now)
+        self._discard_old(self._requests, now)
 
     def allows_retry(self, now: float) -> bool:
         """Return whether a retry may be made."""
-        self._forget(self._requests, now)
-        self._forget(self._retries, now)
+        self._discard_old(self._requests, now)
+        self._discard_old(self._retries, now)
         allowed = self._ratio * len(self._requests) + self.extra
         return len(self._retries) + 1 <= allowed
 
@@ -92,10 +92,10 @@
 
     def measure_requests_per_s(self, now: float) -> float:
         """Return the requests of callers in a second, over the window."""
-        self._forget(self._requests, now)
+        self._discard_old(self._requests, now)
         return len(self._requests) / self._window_s
 
-    def _forget(self, times: deque[float], now: float) -> None:
+    def _discard_old(self, times: deque[float], now: float) -> None:
         while times and times[0] < now - self._window_s:
             times.popleft()
 
