--- a/src/ramppin/gateway/process/limits/__init__.py
+++ b/src/ramppin/gateway/process/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What is limited: retries, requests during a planned stop, readiness."""
+"""Limits of this VM: retries, cold servers, planned stops and readiness."""
--- a/src/ramppin/gateway/process/limits/coldquota.py
+++ b/src/ramppin/gateway/process/limits/coldquota.py
@@ -1,14 +1,14 @@
-"""How many requests this VM may send to a cold server: its turns among all VMs.
+"""Quota of requests that this VM may send to a cold server.
 
-A server that has just started takes few requests a second for a while, and falls over
-well above that. Each VM sees a sliver of what all of them send, and none is asked for a
-choice. So time is cut into windows, the same at all VMs by the clock of day, and in
-each window a server's places go to the VMs that rank first for it by rendezvous
-hashing. VMs that know the same fleet agree without a word; one that knows a VM more or
-less errs by a place. A place that is not used in its window is lost: places kept for
-later would all be used at one moment when a hot prompt comes.
+A server that has just started handles only few requests per second for a while and
+fails well above that rate. Each VM observes only its own share of the traffic, and no
+VM coordinates the others. So wall-clock time is divided into windows that are the same
+on all VMs, and the requests allowed in a window are assigned to VMs by rendezvous
+hashing. VMs with the same member list agree without exchanging messages; a list that
+differs by one VM shifts the quota by one request. Unused quota expires with its window:
+if it accumulated, a hot prompt would spend it in one burst.
 
-Owns, for each cold server, the places that this VM has left in the window. No I/O.
+Owns, for each cold server, the remaining quota of this VM in the window. No I/O.
 """
 
 from __future__ import annotations
@@ -20,30 +20,30 @@
 from ramppin.ranking import RendezvousRanking, hash_name, mix
 
 WINDOW_S = 1.0
-"""Seconds of a window. Any second touches two at the most; in shorter ones a VM more
-often has nothing to send while it has a place."""
+"""Minimum length of a window in seconds. Any second overlaps at most two windows. In
+shorter windows more quota expires unused, as a VM has no request to send."""
 
 WINDOWS_PER_SECOND = 2
-"""Windows whose requests may all reach a server within one second."""
+"""Number of windows whose requests may all reach a server within one second."""
 
 
 @dataclass(frozen=True, slots=True)
 class ColdRules:
-    """What a cold server bears for a second, beside the rate that it takes.
+    """How far a cold server's rate may be exceeded for one second.
 
     Attributes:
-        overage: multiple of the rate.
-        slack: requests beyond that multiple.
+        overage: multiple of the rate that the server tolerates.
+        slack: requests that it tolerates in addition to that multiple.
     """
 
     overage: float = 1.0
     slack: float = 0.0
 
     def compute_quota(self, per_s: float) -> int:
-        """Return how many requests all VMs may send to a server in one window.
+        """Return how many requests all VMs together may send in one window.
 
-        As many as the rate gives, and so few that what windows allow in one second is
-        borne; one at the least, in a window that is long enough for it.
+        Limited by the rate and by what the server tolerates in a second that overlaps
+        two windows, but at least one: windows are long enough for one request.
         """
         tolerated = per_s * self.overage + self.slack
         return max(1, int(min(per_s * WINDOW_S, tolerated / WINDOWS_PER_SECOND)))
@@ -51,21 +51,21 @@
 
 @dataclass(slots=True)
 class _WindowQuota:
-    """This VM's places at one server in one window."""
+    """This VM's remaining quota for one server in one window."""
 
     window: int
     remaining: int
 
 
 class ColdQuota:
-    """This VM's turns at cold servers.
+    """Limits the requests that this VM sends to cold servers.
 
     Args:
         vm: this VM's name.
-        list_vms: returns the names of the VMs that share the places, this one included;
-            none while the fleet is not known, in which case this VM has no place.
-        rules: what a cold server bears.
-        read_time: returns the time of day in seconds.
+        list_vms: returns the names of the VMs that share the quota, including this one;
+            empty while the fleet is unknown, in which case this VM's quota is 0.
+        rules: how far a cold server's rate may be exceeded.
+        read_time: returns the wall-clock time in seconds.
 
     .. versionadded:: 0.3
     """
@@ -85,12 +85,12 @@
         self._ranking = RendezvousRanking()
 
     def count_remaining(self, server_id: str, per_s: float, now: float) -> int:
-        """Return how many requests this VM may send to a cold server now.
+        """Return how many requests this VM may still send in the current window.
 
         Args:
-            server_id: the server's id.
-            per_s: requests a second that it takes while cold, from all VMs.
-            now: the loop's time.
+            server_id: ID of the cold server.
+            per_s: requests per second that it handles while cold, from all VMs.
+            now: current event-loop time.
         """
         window = int(self._read_time() / _measure_window_s(per_s))
         quota = self._windows.get(server_id)
@@ -102,17 +102,17 @@
         return quota.remaining
 
     def note_sent(self, server_id: str) -> None:
-        """Note that a request goes to a cold server."""
+        """Count a request against the quota of a server, if it has one."""
         quota = self._windows.get(server_id)
         if quota is not None:
             quota.remaining -= 1
 
     def forget(self, server_id: str) -> None:
-        """Forget a server that is warm, or gone."""
+        """Discard the state of a server that is warm or was removed."""
         self._windows.pop(server_id, None)
 
     def measure_wait_s(self, per_s: float) -> float:
-        """Return the seconds until the next window begins."""
+        """Return the seconds until the next window starts."""
         window_s = _measure_window_s(per_s)
         return window_s - self._read_time() % window_s
 
@@ -129,5 +129,5 @@
 
 
 def _measure_window_s(per_s: float) -> float:
-    """Return the seconds of a window: long enough for one place."""
+    """Return the window length in seconds, long enough for at least one request."""
     return max(WINDOW_S, 1 / per_s)
--- a/src/ramppin/gateway/process/limits/drain.py
+++ b/src/ramppin/gateway/process/limits/drain.py
@@ -1,8 +1,9 @@
-"""A planned stop: which requests are still taken, and when connections are closed.
+"""Planned stop: which requests are still accepted, and when connections are closed.
 
-The balancer notices only after a while that this VM is not ready, and uses it again
-when all VMs of a failure domain stop together. So requests are taken for some time,
-and later ones only if they end before the process does. Owns the time of the stop.
+The load balancer detects only after a delay that this VM is not ready, and sends
+requests to it again if all VMs of a failure domain stop together. So all requests are
+accepted at first, and later ones only if they end before the process exits. Owns the
+start time of the stop.
 """
 
 from __future__ import annotations
@@ -13,37 +14,39 @@
 from ramppin.gateway.connection.callerwire import ListenerState
 
 POLL_S = 0.05
-"""Seconds between two checks of whether every connection has ended."""
+"""Interval in seconds at which open connections are checked."""
 
 DETECTION_S = 2.3
-"""Seconds until the balancer has noticed: it asks each VM once a second and gives it no
-new connections after two misses."""
+"""Seconds until the load balancer has detected the stop: it probes each VM once per
+second and opens no new connections to it after two failed probes."""
 
 MIN_CLOSE_AGE_S = 0.5
-"""Seconds for which a new connection is left open: its first request is on the way."""
+"""Minimum age in seconds of an idle connection before it is closed: the first request
+of a newer one may be in transit."""
 
 ACCEPT_ALL_S = 2.9
-"""Seconds in which every request is taken. Later ones that could not end in time cut
-streams at the limit, on 6 of 40 days of random trouble."""
+"""Seconds during which every request is accepted. Accepting long requests after that
+truncated streams at the limit in 6 of 40 simulated days with random failures."""
 
 LIMIT_S = 7.5
-"""Seconds until the process ends: half a second before the platform's default of 8
-after which it is killed."""
+"""Seconds until the process exits: half a second before the platform kills it, which
+by default happens after 8 seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class DrainTimes:
-    """How long the parts of a planned stop take, in seconds from its start.
+    """Phases of a planned stop, in seconds from its start unless stated otherwise.
 
     Attributes:
-        detection_s: until the balancer has noticed. Connections stay open so long,
-            and each answer asks its caller to close; then idle ones are closed.
-        min_close_age_s: age below which an idle connection is not closed: its first
-            request is on the way.
-        accept_all_s: until every request is taken. Later ones are taken only if their
-            time limit ends before the stop: the balancer still sends some while
+        detection_s: until the load balancer has detected the stop. Connections stay
+            open until then, and each response asks its caller to close; then idle
+            connections are closed.
+        min_close_age_s: minimum age of an idle connection before it is closed: the
+            first request of a newer one may be in transit.
+        accept_all_s: until then every request is accepted; later ones only if their
+            time limit ends before ``limit_s``. The balancer still sends some while
             most VMs of a failure domain stop together.
-        limit_s: until the process ends in any case.
+        limit_s: until the process exits in any case.
     """
 
     detection_s: float = DETECTION_S
@@ -53,11 +56,11 @@
 
 
 class Drain:
-    """A planned stop that has begun.
+    """A planned stop in progress.
 
     Args:
-        times: how long its parts take.
-        started: the loop's time at which it began.
+        times: when its phases end.
+        started: event-loop time at which it started.
 
     .. versionadded:: 0.2
     """
@@ -67,11 +70,11 @@
         self._started = started
 
     def may_accept(self, time_limit_s: float, now: float) -> bool:
-        """Return whether a request that arrives now will end in time.
+        """Return whether a request that arrives now is accepted.
 
         Args:
-            time_limit_s: longest time that the request is held.
-            now: the loop's time.
+            time_limit_s: maximum duration of the request in seconds.
+            now: current event-loop time.
         """
         passed = now - self._started
         if passed < self._times.accept_all_s:
@@ -79,7 +82,7 @@
         return passed + time_limit_s <= self._times.limit_s
 
     async def wait_until_closed(self, state: ListenerState) -> None:
-        """Wait until every connection has ended, or the limit is reached."""
+        """Close idle connections; wait until all are closed or the limit is reached."""
         loop = asyncio.get_running_loop()
         while (passed := loop.time() - self._started) < self._times.limit_s:
             if passed >= self._times.detection_s:
@@ -94,10 +97,10 @@
                 connection.close_if_idle()
 
     def may_close(self, opened_at: float, now: float) -> bool:
-        """Return whether a connection that carries nothing may be closed.
+        """Return whether an idle connection may be closed.
 
         Args:
-            opened_at: the loop's time at which it was opened.
-            now: the loop's time.
+            opened_at: event-loop time at which it was opened.
+            now: current event-loop time.
         """
         return now - opened_at >= self._times.min_close_age_s
--- a/src/ramppin/gateway/process/limits/readiness.py
+++ b/src/ramppin/gateway/process/limits/readiness.py
@@ -1,6 +1,6 @@
-"""Answers the balancer's question whether this VM should get callers.
+"""Answers the load balancer's readiness probes.
 
-Ready is a VM that knows settings and backend servers and has not begun to stop.
+A VM is ready when it has loaded settings and backend servers and is not stopping.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class ReadinessResponder(Responder):
-    """Answers 200 while ready, else 503.
+    """Answers probes with 200 while the VM is ready and 503 otherwise.
 
     Args:
-        connection: the balancer's connection.
-        path: path of the question.
+        connection: connection from the load balancer.
+        path: path of the probe; any other path is answered with 404.
         is_ready: returns whether this VM is ready.
 
     .. versionadded:: 0.2
@@ -30,14 +30,14 @@
         self._is_ready = is_ready
 
     def accept_request(self, request: CallerRequest) -> None:
-        """Answer at once."""
+        """Answer the probe immediately."""
         if request.target.partition(b"?")[0] != self._path:
             self._connection.send_whole(404, [], b"")
         else:
             self._connection.send_whole(200 if self._is_ready() else 503, [], b"")
 
     def accept_disconnect(self) -> None:
-        """Nothing is in flight here."""
+        """Do nothing: probes are answered synchronously."""
 
     def accept_backpressure(self, *, paused: bool) -> None:
-        """Answers here are small."""
+        """Do nothing: the answers have no body and need no flow control."""
--- a/src/ramppin/gateway/process/limits/retrybudget.py
+++ b/src/ramppin/gateway/process/limits/retrybudget.py
@@ -1,10 +1,10 @@
-"""The fleet's budget of retries, kept without a counter that anyone owns.
+"""Retry budget of the fleet, enforced by each VM without a shared counter.
 
-Each VM allows retries in proportion to the requests that it took itself in a
-sliding window. The sum over all VMs stays in proportion to all requests, and
-the few that a VM allows beyond that add up to a known number.
+Each VM allows retries in proportion to the requests that it received itself in a
+sliding window, so that the sum over all VMs is proportional to all requests. The
+extra retries that each VM allows beyond the ratio add up to a known number.
 
-Owns the requests and retries of the last window, by service.
+Owns the times of requests and retries in the last window, by service.
 """
 
 from __future__ import annotations
@@ -13,25 +13,26 @@
 from dataclasses import dataclass
 
 EXTRA_SHARE = 0.9
-"""Part of the fleet's extra retries that its VMs divide among themselves: VMs that have
-just started are not known to all."""
+"""Fraction of the fleet's extra retries that is divided among the VMs. The rest is a
+reserve, since VMs that have just started are not yet known to all others."""
 
 MAX_EXTRA = 4
-"""Extra retries of one VM: in a small fleet one VM with bad links must not spend what
-the others need."""
+"""Maximum extra retries of one VM: in a small fleet, a VM with bad network links must
+not use up the budget of the others."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryRules:
-    """The fleet's budget of retries, and this VM's part of it.
+    """Retry budget of the fleet and this VM's share of it.
 
     Attributes:
-        ratio: retries for each request of a service. The default is 0.85 of the
-            0.2 that the platform allows, since VMs' windows don't move together.
-        window_s: the sliding window, in seconds, as the platform's default.
-        extra: retries that one VM may make beyond the ratio while it knows no others.
+        ratio: retries per request of a service. The default is 0.85 of the 0.2 that
+            the platform allows, since the windows of the VMs are not aligned.
+        window_s: length of the sliding window in seconds; same as the platform's
+            default.
+        extra: retries that one VM may make beyond the ratio while it knows no other VM.
         fleet_extra: retries that all VMs together may make beyond the ratio; None if
-            each has ``extra``.
+            each VM may make ``extra``.
     """
 
     ratio: float = 0.17
@@ -43,7 +44,7 @@
         """Return the retries that one VM may make beyond the ratio.
 
         Args:
-            live_vms: live VMs of the fleet, this one included.
+            live_vms: number of live VMs in the fleet, including this one.
         """
         if self.fleet_extra is None or live_vms <= 1:
             return self.extra
@@ -51,15 +52,15 @@
 
 
 class RetryWindow:
-    """Allows retries of one service in proportion to recent requests.
+    """Allows retries of one service in proportion to its recent requests.
 
     Args:
-        ratio: retries for each request.
-        window_s: length of the sliding window, in seconds.
+        ratio: retries per request.
+        window_s: length of the sliding window in seconds.
         extra: retries that are always allowed in a window.
 
     Attributes:
-        extra: as given; may change with the fleet.
+        extra: as above; updated when the number of live VMs changes.
 
     .. versionadded:: 0.2
     """
@@ -72,26 +73,26 @@
         self._retries: deque[float] = deque()
 
     def note_request(self, now: float) -> None:
-        """Note a request of a caller."""
+        """Record a request from a caller."""
         self._requests.append(now)
         self._discard_old(self._requests, now)
 
     def allows_retry(self, now: float) -> bool:
-        """Return whether a retry may be made."""
+        """Return whether a retry is allowed now, without counting it."""
         self._discard_old(self._requests, now)
         self._discard_old(self._retries, now)
         allowed = self._ratio * len(self._requests) + self.extra
         return len(self._retries) + 1 <= allowed
 
     def consume(self, now: float) -> bool:
-        """Return whether a retry may be made, and count it."""
+        """Count a retry if one is allowed; return whether it is."""
         if not self.allows_retry(now):
             return False
         self._retries.append(now)
         return True
 
     def measure_requests_per_s(self, now: float) -> float:
-        """Return the requests of callers in a second, over the window."""
+        """Return the rate of requests from callers, averaged over the window."""
         self._discard_old(self._requests, now)
         return len(self._requests) / self._window_s
 
@@ -101,7 +102,7 @@
 
 
 class RetryBudget:
-    """This VM's budget of retries, a window for each service.
+    """Retry budget of this VM, with one window for each service.
 
     Args:
         rules: how many retries are allowed.
@@ -116,36 +117,36 @@
 
     @property
     def rules(self) -> RetryRules:
-        """How many retries are allowed."""
+        """The rules in force."""
         return self._rules
 
     def replace_rules(self, rules: RetryRules) -> None:
-        """Take new rules; if they differ, begin every window anew."""
+        """Replace the rules; if they changed, reset all windows."""
         if rules != self._rules:
             self._rules = rules
             self._windows.clear()
 
     def set_live_vms(self, live_vms: int) -> None:
-        """Take how many live VMs share the fleet's budget, this one included."""
+        """Set how many live VMs, including this one, share the fleet's budget."""
         if live_vms != self._live_vms:
             self._live_vms = live_vms
             for window in self._windows.values():
                 window.extra = self._rules.share_extra(live_vms)
 
     def note_request(self, service: str, now: float) -> None:
-        """Note a request of a service."""
+        """Record a request to a service."""
         self._find_window(service).note_request(now)
 
     def allows_retry(self, service: str, now: float) -> bool:
-        """Return whether a retry of a service may be made, without counting it."""
+        """Return whether a retry to a service is allowed now, without counting it."""
         return self._find_window(service).allows_retry(now)
 
     def consume(self, service: str, now: float) -> bool:
-        """Return whether a retry of a service may be made, and count it."""
+        """Count a retry to a service if one is allowed; return whether it is."""
         return self._find_window(service).consume(now)
 
     def measure_requests_per_s(self, service: str, now: float) -> float:
-        """Return a service's requests in a second, over the window."""
+        """Return the request rate of a service, averaged over the window."""
         return self._find_window(service).measure_requests_per_s(now)
 
     def _find_window(self, service: str) -> RetryWindow:
