--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -412,7 +412,7 @@
         "a relay's read waits": times.choose_relay_wait(0.8, 2.0),
         "a relay's read after news waits": times.choose_relay_wait(bound, 2.0),
         "a question after old news waits": times.choose_wait(
-            bound, 2.0, after_old_news=True
+            bound, 2.0, after_stale_update=True
         ),
         "a first question waits": times.choose_wait(float("inf"), 2.0),
         "a question with 0.5 s old knowledge waits": times.choose_wait(0.5, 2.0),
--- a/src/ramppin/gateway/process/recovery/relayrules.py
+++ b/src/ramppin/gateway/process/recovery/relayrules.py
@@ -37,7 +37,7 @@
 MAX_AGE_SHARE = 0.5
 """Share of the bound up to which the age of a relay's knowledge is accepted."""
 
-MAX_NEWS_AGE_SHARE = 1.0
+MAX_UPDATE_AGE_SHARE = 1.0
 """Share of the bound up to which a relay's knowledge is accepted once if it brings
 news: records that came late in the relay's wait, and took it a while to read, are still
 newer than what the asking VM has. Without it each change of the settings sends most VMs
@@ -65,7 +65,7 @@
     Attributes:
         relay_age_s: age that a relay lets its own knowledge reach.
         max_age_s: age past which a relay's knowledge is not accepted.
-        max_news_age_s: the same for knowledge that brings news, once.
+        max_update_age_s: the same for knowledge that brings news, once.
         settle_s: wait of the question after such news.
         call_timeout_s: time that an answer may take beyond the wait asked for.
 
@@ -74,7 +74,7 @@
 
     relay_age_s: float
     max_age_s: float
-    max_news_age_s: float
+    max_update_age_s: float
     settle_s: float
     call_timeout_s: float
 
@@ -84,7 +84,7 @@
         return cls(
             relay_age_s=RELAY_AGE_SHARE * bound_s,
             max_age_s=MAX_AGE_SHARE * bound_s,
-            max_news_age_s=MAX_NEWS_AGE_SHARE * bound_s,
+            max_update_age_s=MAX_UPDATE_AGE_SHARE * bound_s,
             settle_s=SETTLE_SHARE * bound_s,
             call_timeout_s=CALL_TIMEOUT_SHARE * bound_s,
         )
@@ -103,16 +103,16 @@
         return min(wait_s, max(0.0, self.relay_age_s - age_s))
 
     def choose_wait(
-        self, age_s: float, wait_s: float, *, after_old_news: bool = False
+        self, age_s: float, wait_s: float, *, after_stale_update: bool = False
     ) -> float:
         """Return how long a question to a relay may wait for news.
 
         Args:
             age_s: age of what the asking VM knows.
             wait_s: the wait of a VM that reads the log itself.
-            after_old_news: whether the last answer was accepted for its news alone.
+            after_stale_update: whether the last answer was accepted for its news alone.
         """
-        least_s = self.settle_s if after_old_news else 0.0
+        least_s = self.settle_s if after_stale_update else 0.0
         return min(wait_s, max(least_s, self.max_age_s - age_s))
 
     def find_fault(
@@ -121,7 +121,7 @@
         asked_position: int,
         age_s: float,
         *,
-        after_old_news: bool = False,
+        after_stale_update: bool = False,
     ) -> str | None:
         """Return why a relay's answer is not accepted, or None.
 
@@ -130,13 +130,13 @@
                 read it yet.
             asked_position: offset up to which the asking VM knows it.
             age_s: seconds since the relay last knew its knowledge to be current.
-            after_old_news: whether the last answer was accepted for its news alone;
+            after_stale_update: whether the last answer was accepted for its news alone;
                 a relay that is always late is found out by its second one.
         """
         if position is None or position < asked_position:
             return "the relay is behind"
-        has_news = position > asked_position and not after_old_news
-        max_age_s = self.max_news_age_s if has_news else self.max_age_s
+        has_news = position > asked_position and not after_stale_update
+        max_age_s = self.max_update_age_s if has_news else self.max_age_s
         if age_s > max_age_s:
             return f"the relay's knowledge is {age_s:.1f} s old"
         return None
--- a/src/ramppin/gateway/process/recovery/relays.py
+++ b/src/ramppin/gateway/process/recovery/relays.py
@@ -76,7 +76,7 @@
         self._contact = contact
         self._times = times
         self._known_at = float("-inf")
-        self._after_old_news = False
+        self._after_stale_update = False
         self._avoid_until: dict[str, float] = {}
         self._fetcher: Fetcher | None = None
         self._fetcher_vm = ""
@@ -124,7 +124,7 @@
         batch = await self._direct.read_after(position, wait_s=wait_s)
         batch = batch.note_wait(wait_s, loop.time() - asked_at)
         self._known_at = asked_at + batch.waited_s
-        self._after_old_news = False
+        self._after_stale_update = False
         return batch
 
     def _avoid(self, relay: Member, error: LogUnavailableError) -> None:
@@ -153,7 +153,9 @@
         loop = asyncio.get_running_loop()
         asked_at = loop.time()
         wait_s = self._times.choose_wait(
-            asked_at - self._known_at, wait_s, after_old_news=self._after_old_news
+            asked_at - self._known_at,
+            wait_s,
+            after_stale_update=self._after_stale_update,
         )
         question = PeerQuestion(
             self._own.vm, {self._name: position}, int(wait_s * 1000)
@@ -178,11 +180,11 @@
         known = state.position if state else None
         age_s = state.age_ms / 1000 if state else 0.0
         fault = self._times.find_fault(
-            known, position, age_s, after_old_news=self._after_old_news
+            known, position, age_s, after_stale_update=self._after_stale_update
         )
         if fault is not None:
             raise LogUnavailableError(fault, step="relay", peer=relay.vm)
-        self._after_old_news = age_s > self._times.max_age_s
+        self._after_stale_update = age_s > self._times.max_age_s
 
     def _open(self, relay: Member) -> Fetcher:
         if self._fetcher is None or self._fetcher_vm != relay.vm:
