--- a/src/ramppin/gateway/process/recovery/relayrules.py
+++ b/src/ramppin/gateway/process/recovery/relayrules.py
@@ -43,7 +43,7 @@
 newer than what the asking VM has. Without it each change of the settings sends most VMs
 to the log."""
 
-SETTLE_SHARE = 0.1
+STALE_UPDATE_WAIT_SHARE = 0.1
 """Share of the bound for which the question after old news waits: the relay has read
 the log again by then."""
 
@@ -66,7 +66,7 @@
         relay_age_s: age that a relay lets its own knowledge reach.
         max_age_s: age past which a relay's knowledge is not accepted.
         max_update_age_s: the same for knowledge that brings news, once.
-        settle_s: wait of the question after such news.
+        stale_update_wait_s: wait of the question after such news.
         call_timeout_s: time that an answer may take beyond the wait asked for.
 
     .. versionadded:: 0.2
@@ -75,7 +75,7 @@
     relay_age_s: float
     max_age_s: float
     max_update_age_s: float
-    settle_s: float
+    stale_update_wait_s: float
     call_timeout_s: float
 
     @classmethod
@@ -85,7 +85,7 @@
             relay_age_s=RELAY_AGE_SHARE * bound_s,
             max_age_s=MAX_AGE_SHARE * bound_s,
             max_update_age_s=MAX_UPDATE_AGE_SHARE * bound_s,
-            settle_s=SETTLE_SHARE * bound_s,
+            stale_update_wait_s=STALE_UPDATE_WAIT_SHARE * bound_s,
             call_timeout_s=CALL_TIMEOUT_SHARE * bound_s,
         )
 
@@ -112,7 +112,7 @@
             wait_s: the wait of a VM that reads the log itself.
             after_stale_update: whether the last answer was accepted for its news alone.
         """
-        least_s = self.settle_s if after_stale_update else 0.0
+        least_s = self.stale_update_wait_s if after_stale_update else 0.0
         return min(wait_s, max(least_s, self.max_age_s - age_s))
 
     def find_fault(
