--- a/features/steps/gateway_knowledge_rule_steps.py
+++ b/features/steps/gateway_knowledge_rule_steps.py
@@ -56,7 +56,7 @@
 )
 def step_relay_answer(context, last, position, age, asked, accepted):
     known = None if position == "none" else int(position)
-    fault = RelayTimes.from_bound(2.0).find_fault(
+    fault = RelayTimes.from_bound(2.0).find_rejection_reason(
         known, asked, age, after_stale_update=last == "old news"
     )
     assert (fault is None) is is_yes(accepted), fault
--- a/src/ramppin/gateway/process/recovery/relayrules.py
+++ b/src/ramppin/gateway/process/recovery/relayrules.py
@@ -115,7 +115,7 @@
         least_s = self.stale_update_wait_s if after_stale_update else 0.0
         return min(wait_s, max(least_s, self.max_age_s - age_s))
 
-    def find_fault(
+    def find_rejection_reason(
         self,
         position: int | None,
         asked_position: int,
--- a/src/ramppin/gateway/process/recovery/relays.py
+++ b/src/ramppin/gateway/process/recovery/relays.py
@@ -179,7 +179,7 @@
     def _check(self, state: TableState | None, position: int, relay: Member) -> None:
         known = state.position if state else None
         age_s = state.age_ms / 1000 if state else 0.0
-        fault = self._times.find_fault(
+        fault = self._times.find_rejection_reason(
             known, position, age_s, after_stale_update=self._after_stale_update
         )
         if fault is not None:
