--- a/src/ramppin/gateway/process/recovery/relayrules.py
+++ b/src/ramppin/gateway/process/recovery/relayrules.py
@@ -112,13 +112,13 @@
             wait_s: the wait of a VM that reads the log itself.
             after_stale_update: whether the last answer was accepted for its news alone.
         """
-        least_s = self.stale_update_wait_s if after_stale_update else 0.0
-        return min(wait_s, max(least_s, self.max_age_s - age_s))
+        min_wait_s = self.stale_update_wait_s if after_stale_update else 0.0
+        return min(wait_s, max(min_wait_s, self.max_age_s - age_s))
 
     def find_rejection_reason(
         self,
         position: int | None,
-        asked_position: int,
+        requested_position: int,
         age_s: float,
         *,
         after_stale_update: bool = False,
@@ -128,15 +128,15 @@
         Args:
             position: offset up to which the relay knows the log; None if it has not
                 read it yet.
-            asked_position: offset up to which the asking VM knows it.
+            requested_position: offset up to which the asking VM knows it.
             age_s: seconds since the relay last knew its knowledge to be current.
             after_stale_update: whether the last answer was accepted for its news alone;
                 a relay that is always late is found out by its second one.
         """
-        if position is None or position < asked_position:
+        if position is None or position < requested_position:
             return "the relay is behind"
-        has_news = position > asked_position and not after_stale_update
-        max_age_s = self.max_update_age_s if has_news else self.max_age_s
+        has_new_records = position > requested_position and not after_stale_update
+        max_age_s = self.max_update_age_s if has_new_records else self.max_age_s
         if age_s > max_age_s:
             return f"the relay's knowledge is {age_s:.1f} s old"
         return None
@@ -163,10 +163,10 @@
     domains: dict[str, list[Member]] = {}
     for vm in sorted(candidates, key=_rank):
         domains.setdefault(vm.failure_domain, []).append(vm)
-    in_turn = [
+    interleaved = [
         vm for row in zip_longest(*domains.values()) for vm in row if vm is not None
     ]
-    return in_turn[:count]
+    return interleaved[:count]
 
 
 def _rank(vm: Member) -> tuple[float, int]:
@@ -188,6 +188,8 @@
     if any(relay.vm == own.vm for relay in relays):
         return None
     usable = [relay for relay in relays if relay.vm not in avoided]
-    near = [relay for relay in usable if relay.failure_domain == own.failure_domain]
-    chosen = near or usable
+    same_domain = [
+        relay for relay in usable if relay.failure_domain == own.failure_domain
+    ]
+    chosen = same_domain or usable
     return chosen[hash_name(own.vm) % len(chosen)] if chosen else None
