--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -2,7 +2,7 @@
 
 They come from the shared log, through relays in all but the smallest fleets, and from
 peers while the log is away. Owns the replicas and what keeps them current; what
-their records change is in :mod:`~.changes`.
+their records change is in :mod:`~.recordapplier`.
 """
 
 from __future__ import annotations
@@ -21,7 +21,6 @@
     announce,
 )
 from ramppin.gateway.process.quarantine.news import QuarantineNews
-from ramppin.gateway.process.recovery.changes import RecordChanges
 from ramppin.gateway.process.recovery.follower import FollowedTable, Follower
 from ramppin.gateway.process.recovery.logcontact import (
     LogContact,
@@ -30,6 +29,7 @@
 )
 from ramppin.gateway.process.recovery.peerchoice import list_candidates
 from ramppin.gateway.process.recovery.peerreader import PeerReader
+from ramppin.gateway.process.recovery.recordapplier import RecordChanges
 from ramppin.gateway.process.recovery.relayrules import RelayTimes
 from ramppin.gateway.process.recovery.relays import RelayChoice, RelayedSource
 from ramppin.gateway.process.recovery.replica import Record, Replica
