--- a/src/ramppin/gateway/process/recovery/recordapplier.py
+++ b/src/ramppin/gateway/process/recovery/recordapplier.py
@@ -20,7 +20,7 @@
 from ramppin.gateway.process.routing.serverstate import BackendServer, ServerState
 
 
-class RecordChanges:
+class RecordApplier:
     """Takes records of the settings and of the backend servers.
 
     Args:
--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -29,7 +29,7 @@
 )
 from ramppin.gateway.process.recovery.peerchoice import list_candidates
 from ramppin.gateway.process.recovery.peerreader import PeerReader
-from ramppin.gateway.process.recovery.recordapplier import RecordChanges
+from ramppin.gateway.process.recovery.recordapplier import RecordApplier
 from ramppin.gateway.process.recovery.relayrules import RelayTimes
 from ramppin.gateway.process.recovery.relays import RelayChoice, RelayedSource
 from ramppin.gateway.process.recovery.replica import Record, Replica
@@ -129,11 +129,11 @@
         )
         self._first_reads_due = 2
         self._relays = RelayChoice(self._own, self.members, self.contact)
-        changes = RecordChanges(
+        applier = RecordApplier(
             config.settings_key, sources.decoder, context, self._find_hold_end
         )
-        self._settings = self._follow_settings(changes)
-        self._servers = self._follow_servers(changes)
+        self._settings = self._follow_settings(applier)
+        self._servers = self._follow_servers(applier)
         self._member_table = self._follow_members()
         self.followed = (self._settings, self._servers, self._member_table)
         self._peer_reader = PeerReader(
@@ -223,10 +223,10 @@
 
     # the tables
 
-    def _follow_settings(self, changes: RecordChanges) -> FollowedTable:
+    def _follow_settings(self, applier: RecordApplier) -> FollowedTable:
         config = self._config
         return self._follow_through_relays(
-            Replica("settings", changes.take_settings),
+            Replica("settings", applier.take_settings),
             self._sources.settings,
             bound_s=config.settings_bound_s,
             interval_s=SETTINGS_INTERVAL_S,
@@ -235,10 +235,10 @@
             note_first=self._note_first_read,
         )
 
-    def _follow_servers(self, changes: RecordChanges) -> FollowedTable:
+    def _follow_servers(self, applier: RecordApplier) -> FollowedTable:
         config = self._config
         return self._follow_through_relays(
-            Replica("servers", changes.take_server),
+            Replica("servers", applier.take_server),
             self._sources.servers,
             bound_s=config.leaving_bound_s,
             interval_s=config.server_pace_s,
