--- a/src/ramppin/gateway/process/recovery/recordapplier.py
+++ b/src/ramppin/gateway/process/recovery/recordapplier.py
@@ -44,13 +44,13 @@
         self._context = context
         self._find_hold_end = find_hold_end
 
-    def take_settings(self, record: Record) -> None:
+    def apply_settings(self, record: Record) -> None:
         """Put settings in force, unless they are older or can't be read."""
         context = self._context
         try:
             domain = self._decoder.find_evacuated(record)
             if domain is not None:
-                self._take_evacuation(domain, record)
+                self._apply_evacuation(domain, record)
                 return
             if record.key != self._settings_key:
                 return
@@ -75,7 +75,7 @@
             routes=len(table.routes),
         )
 
-    def _take_evacuation(self, domain: str, record: Record) -> None:
+    def _apply_evacuation(self, domain: str, record: Record) -> None:
         """Empty a failure domain, or take it back."""
         context, now = self._context, asyncio.get_running_loop().time()
         evacuations = context.directory.evacuations
@@ -114,10 +114,10 @@
             if spec is not None and spec.cold_s:
                 state.coldness.suppose(spec.cold_s, now)
 
-    def take_server(self, record: Record) -> None:
+    def apply_server(self, record: Record) -> None:
         """Take a backend server's entry, or the end of one."""
         if record.value is None:
-            self._take_vanished(record.key)
+            self._apply_removal(record.key)
             return
         context = self._context
         try:
@@ -126,15 +126,15 @@
             self._refuse_server(record, error.show())
             return
         known = context.directory.find_newest(server.name)
-        if known is not None and not self._take_start(known, server, record):
+        if known is not None and not self._apply_start(known, server, record):
             return
         was_refused = known is not None and known.refused
         state = context.directory.put(server)
-        self._take_coldness(state, record.offset)
+        self._apply_coldness(state, record.offset)
         if known is None or known.server != server or was_refused:
             self._note_known(server, record.offset)
 
-    def _take_start(
+    def _apply_start(
         self, known: ServerState, server: BackendServer, record: Record
     ) -> bool:
         """Return whether an entry may be taken, by the start that it tells."""
@@ -165,7 +165,7 @@
             )
         return True
 
-    def _take_coldness(self, state: ServerState, offset: int) -> None:
+    def _apply_coldness(self, state: ServerState, offset: int) -> None:
         """Take for how long a server is still cold."""
         context, server = self._context, state.server
         now = asyncio.get_running_loop().time()
@@ -203,7 +203,7 @@
             offset=offset,
         )
 
-    def _take_vanished(self, name: str) -> None:
+    def _apply_removal(self, name: str) -> None:
         directory = self._context.directory
         hold_end = self._find_hold_end(asyncio.get_running_loop().time())
         if hold_end is not None:
--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -226,7 +226,7 @@
     def _follow_settings(self, applier: RecordApplier) -> FollowedTable:
         config = self._config
         return self._follow_through_relays(
-            Replica("settings", applier.take_settings),
+            Replica("settings", applier.apply_settings),
             self._sources.settings,
             bound_s=config.settings_bound_s,
             interval_s=SETTINGS_INTERVAL_S,
@@ -238,7 +238,7 @@
     def _follow_servers(self, applier: RecordApplier) -> FollowedTable:
         config = self._config
         return self._follow_through_relays(
-            Replica("servers", applier.take_server),
+            Replica("servers", applier.apply_server),
             self._sources.servers,
             bound_s=config.leaving_bound_s,
             interval_s=config.server_pace_s,
