--- a/src/ramppin/gateway/process/recovery/recordapplier.py
+++ b/src/ramppin/gateway/process/recovery/recordapplier.py
@@ -91,7 +91,7 @@
             return
         ended = evacuations.end(domain)
         # Also where this VM never read that it was emptied: its servers may be cold.
-        self._suppose_cold(domain, now)
+        self._assume_cold(domain, now)
         context.decisions.note(
             "domain_restored",
             domain=domain,
@@ -100,7 +100,7 @@
             evacuated_s=0.0 if ended is None else round(now - ended.since, 2),
         )
 
-    def _suppose_cold(self, domain: str, now: float) -> None:
+    def _assume_cold(self, domain: str, now: float) -> None:
         """Take the servers of a failure domain that is back for cold.
 
         They may have been cleared meanwhile, and their entries that tell it come later
@@ -139,8 +139,8 @@
     ) -> bool:
         """Return whether an entry may be taken, by the start that it tells."""
         context = self._context
-        told_ms, known_ms = server.started_ms, known.server.started_ms
-        verdict = judge_start(known_ms, told_ms)
+        entry_started_ms, known_ms = server.started_ms, known.server.started_ms
+        verdict = judge_start(known_ms, entry_started_ms)
         if verdict is StartVerdict.UNTOLD:
             self._refuse_server(record, f"no start, where {known_ms} was known")
             return False
@@ -148,7 +148,7 @@
             context.decisions.note(
                 "server_older",
                 server=server.name,
-                started_ms=told_ms,
+                started_ms=entry_started_ms,
                 known_ms=known_ms,
                 offset=record.offset,
             )
@@ -159,7 +159,7 @@
             context.decisions.note(
                 "server_restarted",
                 server=server.name,
-                started_ms=told_ms,
+                started_ms=entry_started_ms,
                 known_ms=known_ms,
                 in_flight=known.in_flight,
             )
