--- a/src/ramppin/gateway/connection/callerwire.py
+++ b/src/ramppin/gateway/connection/callerwire.py
@@ -24,8 +24,8 @@
 from ramppin.gateway.connection.requestreader import (
     CallerRequest,
     RefusedRequestError,
+    RequestHandler,
     RequestReader,
-    RequestTaker,
 )
 from ramppin.gateway.connection.tcptimeouts import CALLER_TIMEOUTS, set_tcp_timeouts
 from ramppin.gateway.version.routing import CallerLimits
@@ -85,7 +85,7 @@
     connections: set[CallerConnection] = field(default_factory=set)
 
 
-class CallerConnection(asyncio.Protocol, RequestTaker):
+class CallerConnection(asyncio.Protocol, RequestHandler):
     """One connection of a caller.
 
     Args:
@@ -171,7 +171,7 @@
         if request.find(b"expect") is not None and self._transport is not None:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def accept_whole(self, request: CallerRequest) -> None:
+    def accept_complete(self, request: CallerRequest) -> None:
         """Begin a request, or let it wait for the one in flight."""
         request.arrived = self._loop.time()
         self._waiting.append(request)
@@ -182,7 +182,7 @@
 
     # the responder's side
 
-    def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
+    def send_answer(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a whole answer and go on to the next request.
 
         In the middle of another answer it would be garbage: that one is cut.
@@ -216,7 +216,7 @@
         sent += self._build_connection_headers(request)
         self._transport.write(encode_answer(status, sent))
 
-    def send_piece(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Send a piece of a body."""
         if self.gone or self._transport is None or not data:
             return
--- a/src/ramppin/gateway/connection/fetch.py
+++ b/src/ramppin/gateway/connection/fetch.py
@@ -100,13 +100,13 @@
         headers: Headers = [(b"Host", f"{self._host}:{self._port}".encode())]
         if method == b"POST":
             headers.append((b"Content-Length", b"%d" % len(body)))
-        receiver = _WholeReceiver()
+        receiver = _BufferingReceiver()
         head = encode_request(method, target.encode(), headers)
         self._connection.send(head, body, receiver)
         return await receiver.answer
 
 
-class _WholeReceiver(AnswerReceiver):
+class _BufferingReceiver(AnswerReceiver):
     """Collects an answer until it is whole."""
 
     def __init__(self) -> None:
--- a/src/ramppin/gateway/connection/requestreader.py
+++ b/src/ramppin/gateway/connection/requestreader.py
@@ -45,7 +45,7 @@
         return find_header(self.headers, name)
 
 
-class RequestTaker(ABC):
+class RequestHandler(ABC):
     """Takes what a :class:`RequestReader` has read."""
 
     @abstractmethod
@@ -53,7 +53,7 @@
         """Take a request whose head is whole."""
 
     @abstractmethod
-    def accept_whole(self, request: CallerRequest) -> None:
+    def accept_complete(self, request: CallerRequest) -> None:
         """Take a request that is whole."""
 
 
@@ -61,7 +61,7 @@
     """Reads requests, and refuses those that break a limit.
 
     Args:
-        taker: takes requests.
+        handler: takes requests.
         get_limits: returns the limits in force.
 
     Attributes:
@@ -72,9 +72,9 @@
     """
 
     def __init__(
-        self, taker: RequestTaker, get_limits: Callable[[], CallerLimits]
+        self, handler: RequestHandler, get_limits: Callable[[], CallerLimits]
     ) -> None:
-        self._taker = taker
+        self._handler = handler
         self._get_limits = get_limits
         self._parser = httptools.HttpRequestParser(self)
         self._body: list[bytes] = []
@@ -139,7 +139,7 @@
         length = request.find(b"content-length")
         if length is not None:
             self._check_body(int(length))
-        self._taker.accept_head(request)
+        self._handler.accept_head(request)
 
     def on_body(self, data: bytes) -> None:
         """Take a piece of the body."""
@@ -157,7 +157,7 @@
         request.keep_alive = self._parser.should_keep_alive()
         request.http_1_0 = self._parser.get_http_version() == "1.0"
         self._body = []
-        self._taker.accept_whole(request)
+        self._handler.accept_complete(request)
 
     # limits
 
--- a/src/ramppin/gateway/process/limits/readiness.py
+++ b/src/ramppin/gateway/process/limits/readiness.py
@@ -32,9 +32,9 @@
     def accept_request(self, request: CallerRequest) -> None:
         """Answer the probe immediately."""
         if request.target.partition(b"?")[0] != self._path:
-            self._connection.send_whole(404, [], b"")
+            self._connection.send_answer(404, [], b"")
         else:
-            self._connection.send_whole(200 if self._is_ready() else 503, [], b"")
+            self._connection.send_answer(200 if self._is_ready() else 503, [], b"")
 
     def accept_disconnect(self) -> None:
         """Do nothing: probes are answered synchronously."""
--- a/src/ramppin/gateway/process/operations.py
+++ b/src/ramppin/gateway/process/operations.py
@@ -199,7 +199,7 @@
         elif request.target.startswith(CLEAR_PREFIX):
             self._clear(request, now)
         else:
-            self._connection.send_whole(404, [], b"")
+            self._connection.send_answer(404, [], b"")
 
     def accept_disconnect(self) -> None:
         """Nothing is in flight here."""
@@ -210,13 +210,13 @@
     def _clear(self, request: CallerRequest, now: float) -> None:
         """Let a request run again, if it is asked for in due form."""
         if request.method != b"POST":
-            self._connection.send_whole(405, [(b"Allow", b"POST")], b"")
+            self._connection.send_answer(405, [(b"Allow", b"POST")], b"")
             return
         text = request.target[len(CLEAR_PREFIX) :].decode("latin-1")
         fingerprint = read_fingerprint(text)
         if fingerprint is None:
             message = b"a fingerprint is 16 hex digits, as lines show it\n"
-            self._connection.send_whole(400, [], message)
+            self._connection.send_answer(400, [], message)
             return
         was_known = self._state.clear(fingerprint, now)
         self._send_json({"fingerprint": text, "cleared": was_known})
@@ -226,7 +226,7 @@
 
     def _send(self, body: bytes, content_type: str) -> None:
         headers = [(b"Content-Type", content_type.encode())]
-        self._connection.send_whole(200, headers, body)
+        self._connection.send_answer(200, headers, body)
 
 
 def _measure_age(now: float, moment: float) -> float:
--- a/src/ramppin/gateway/process/recovery/peeranswers.py
+++ b/src/ramppin/gateway/process/recovery/peeranswers.py
@@ -51,18 +51,18 @@
     def accept_request(self, request: CallerRequest) -> None:
         """Answer at once, or when there is news."""
         if request.target != RECORDS_TARGET.encode():
-            self._connection.send_whole(404, [], b"")
+            self._connection.send_answer(404, [], b"")
             return
         try:
             question = decode_question(request.body)
         except msgspec.MsgspecError as error:
             LOG.warning("unreadable question: %s", error, extra={"step": "records"})
-            self._connection.send_whole(400, [], b"")
+            self._connection.send_answer(400, [], b"")
             return
         if question.wait_ms > 0 and not self._has_news(question):
             self._wait(question)
         else:
-            self._connection.send_whole(200, [], self._build_answer(question))
+            self._connection.send_answer(200, [], self._build_answer(question))
 
     def accept_disconnect(self) -> None:
         """Nothing is in flight here."""
@@ -88,7 +88,7 @@
 
         def answer() -> None:
             timer.cancel()
-            self._connection.send_whole(200, [], self._build_answer(question))
+            self._connection.send_answer(200, [], self._build_answer(question))
 
         def answer_soon() -> None:
             stop_waiting()
--- a/src/ramppin/gateway/request/attempt.py
+++ b/src/ramppin/gateway/request/attempt.py
@@ -219,7 +219,7 @@
         else:
             self._first_byte_at = self._loop.time()
             headers = keep_end_to_end(head.headers, _LENGTH)
-            self._caller.send_whole(head.status, headers, b"".join(self._buffered))
+            self._caller.send_answer(head.status, headers, b"".join(self._buffered))
         self._state.health.note_outcome(kind.outcome, self._loop.time())
         self._finish(kind.end)
 
@@ -246,10 +246,10 @@
 
     def _forward(self, data: bytes) -> None:
         if self._events is None:
-            self._caller.send_piece(data)
+            self._caller.send_body(data)
             return
         try:
-            self._caller.send_piece(self._events.feed(data))
+            self._caller.send_body(self._events.feed(data))
         except ProtocolError as error:
             self._fail(error.message)
 
--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -356,4 +356,4 @@
         names = self._context.names
         if self._request_id and find_header(headers, names.request_id) is None:
             headers = [(names.request_id, self._request_id), *headers]
-        self._connection.send_whole(final.status, headers, body)
+        self._connection.send_answer(final.status, headers, body)
