--- a/src/ramppin/gateway/process/routing/gate.py
+++ b/src/ramppin/gateway/process/routing/gate.py
@@ -19,7 +19,7 @@
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.serverstate import ServerState
 
-MOST_SHOWN = 8
+MAX_LISTED_CLOSURES = 8
 """Closed servers that one line names."""
 
 
@@ -53,7 +53,7 @@
     def show_closed(self) -> tuple[str, ...]:
         """Return the closed servers for lines, as ``REASON:ID``, some if many."""
         found = sorted(f"{c.reason.value}:{name}" for name, c in self.closed.items())
-        return tuple(found[:MOST_SHOWN])
+        return tuple(found[:MAX_LISTED_CLOSURES])
 
     def find_first_opening(self) -> Closure | None:
         """Return the closure that ends first, of those whose end is known."""
