--- a/src/ramppin/gateway/process/routing/gate.py
+++ b/src/ramppin/gateway/process/routing/gate.py
@@ -50,7 +50,7 @@
         passed_over = tried if self.list_open() else ()
         return {c.reason for name, c in self.closed.items() if name not in passed_over}
 
-    def show_closed(self) -> tuple[str, ...]:
+    def list_closure_labels(self) -> tuple[str, ...]:
         """Return the closed servers for lines, as ``REASON:ID``, some if many."""
         found = sorted(f"{c.reason.value}:{name}" for name, c in self.closed.items())
         return tuple(found[:MAX_LISTED_CLOSURES])
--- a/src/ramppin/gateway/request/serverchoice.py
+++ b/src/ramppin/gateway/request/serverchoice.py
@@ -50,7 +50,7 @@
         """Return the server for the next attempt, or why there is none."""
         context, service = self._context, self._admission.service
         survey = context.gate.survey(service, now)
-        self.closed = survey.show_closed()
+        self.closed = survey.list_closure_labels()
         prefix_key = self._admission.prefix_key
         request = SelectionRequest(
             prefix_key,
