--- a/src/ramppin/gateway/process/routing/gate.py
+++ b/src/ramppin/gateway/process/routing/gate.py
@@ -55,7 +55,7 @@
         found = sorted(f"{c.reason.value}:{name}" for name, c in self.closed.items())
         return tuple(found[:MAX_LISTED_CLOSURES])
 
-    def find_first_opening(self) -> Closure | None:
+    def find_earliest_reopening(self) -> Closure | None:
         """Return the closure that ends first, of those whose end is known."""
         ending = [c for c in self.closed.values() if c.opens_at is not None]
         return min(ending, key=lambda closure: closure.opens_at or 0.0, default=None)
--- a/src/ramppin/gateway/request/serverchoice.py
+++ b/src/ramppin/gateway/request/serverchoice.py
@@ -102,7 +102,7 @@
         survey = context.gate.survey(self._admission.service, now)
         open_states = survey.list_open()
         opening_s, closed_s = find_opening_s(open_states, now), 0.0
-        first = None if open_states else survey.find_first_opening()
+        first = None if open_states else survey.find_earliest_reopening()
         if first is not None and first.opens_at is not None:
             opening_s = max(0.0, first.opens_at - now)
             closed_s = opening_s if first.reason is ClosureReason.RESTING else 0.0
