--- a/src/ramppin/gateway/process/routing/gate.py
+++ b/src/ramppin/gateway/process/routing/gate.py
@@ -110,7 +110,7 @@
             now: the loop's time.
         """
         lasting = find_lasting_closure(state, self._directory.evacuations)
-        return _find_rest(state, now) if lasting is None else Closure(lasting)
+        return _find_backoff(state, now) if lasting is None else Closure(lasting)
 
     def _find_cold(
         self, state: ServerState, per_s: float, now: float
@@ -124,7 +124,7 @@
         return Closure(ClosureReason.COLD, now + wait_s)
 
 
-def _find_rest(state: ServerState, now: float) -> Closure | None:
+def _find_backoff(state: ServerState, now: float) -> Closure | None:
     """Return the closure of a server that has asked this VM for rest."""
     until = state.words.find_rest_end(now)
     return None if until is None else Closure(ClosureReason.RESTING, until)
