--- a/src/ramppin/gateway/process/routing/gate.py
+++ b/src/ramppin/gateway/process/routing/gate.py
@@ -97,7 +97,7 @@
             if closure is None or closure.reason is ClosureReason.RESTING:
                 states.append(state)
             if closure is None:
-                closure = self._find_cold(state, cold_per_s, now)
+                closure = self._find_cold_closure(state, cold_per_s, now)
             if closure is not None:
                 closed[state.id] = closure
         return ServiceSurvey(states, closed)
@@ -112,7 +112,7 @@
         lasting = find_lasting_closure(state, self._directory.evacuations)
         return _find_backoff(state, now) if lasting is None else Closure(lasting)
 
-    def _find_cold(
+    def _find_cold_closure(
         self, state: ServerState, per_s: float, now: float
     ) -> Closure | None:
         """Return the closure of a cold server at which this VM has no place."""
