--- a/features/steps/gateway_server_rule_steps.py
+++ b/features/steps/gateway_server_rule_steps.py
@@ -31,7 +31,7 @@
 from ramppin.gateway.process.recovery.replica import Record
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.eligibility import (
-    find_bad_servers,
+    find_failing_servers,
     list_eligible,
 )
 from ramppin.gateway.process.routing.failuregossip import FailureGossip
@@ -200,7 +200,7 @@
     states = [build_server(f"s{n}", 0) for n in range(count)]
     for state in states[:failing]:
         state.evidence.note_failures(9.0, "a", NOW)
-    assert len(find_bad_servers(states, "a", 5.0, NOW)) == bad
+    assert len(find_failing_servers(states, "a", 5.0, NOW)) == bad
 
 
 @then("among {count:d} servers a VM that saw {failing:d} fail tells of {told:d}")
@@ -231,7 +231,7 @@
     news = FailureGossip(directory, "a")
     for number in range(1, count + 1):
         news.take([FailureHint("s0", 1)], "a", NOW + 0.01 * number)
-        bad = find_bad_servers(list(directory), "a", 30.0, NOW + 0.01 * number)
+        bad = find_failing_servers(list(directory), "a", 30.0, NOW + 0.01 * number)
         assert bool(bad) is (number >= needed), (number, bad)
 
 
--- a/src/ramppin/gateway/process/context.py
+++ b/src/ramppin/gateway/process/context.py
@@ -25,7 +25,7 @@
 from ramppin.gateway.process.reporting.metrics import GatewayMetrics
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.eligibility import (
-    find_bad_servers,
+    find_failing_servers,
     share_connections,
 )
 from ramppin.gateway.process.routing.gate import ServerGate
@@ -116,7 +116,7 @@
             return None
         return share_connections(spec.max_connections, self.live_vms)
 
-    def find_bad_servers(
+    def find_failing_servers(
         self, service: str, states: Sequence[ServerState], now: float
     ) -> frozenset[str]:
         """Return the ids of servers that the fleet sees failing.
@@ -125,7 +125,7 @@
         enough over VMs.
         """
         own_per_s = self.retry_budget.measure_requests_per_s(service, now)
-        return find_bad_servers(
+        return find_failing_servers(
             states, self.failure_domain, own_per_s * self.live_vms, now
         )
 
--- a/src/ramppin/gateway/process/routing/eligibility.py
+++ b/src/ramppin/gateway/process/routing/eligibility.py
@@ -18,7 +18,7 @@
 is for VMs that are not known yet."""
 
 
-MAX_BAD_SHARE = 1 / 3
+MAX_EXCLUDED_SHARE = 1 / 3
 """Part of a service's servers that may be passed over for what the fleet saw: more are
 a trouble of the service, and the rest could not carry its load."""
 
@@ -38,7 +38,7 @@
         max_in_flight: requests that this VM should have at one server; None for
             any number.
         now: the loop's time.
-        bad: ids from :func:`find_bad_servers`.
+        bad: ids from :func:`find_failing_servers`.
     """
     untried = [state for state in states if state.id not in tried]
     healthy = [state for state in untried if not state.health.is_suspect(now)]
@@ -52,7 +52,7 @@
     return with_room or preferred
 
 
-def find_bad_servers(
+def find_failing_servers(
     states: Sequence[ServerState], own_domain: str, requests_per_s: float, now: float
 ) -> frozenset[str]:
     """Return the ids of servers that the fleet sees failing.
@@ -69,7 +69,7 @@
     bad = frozenset(
         state.id for state in states if state.evidence.is_bad(own_domain, share, now)
     )
-    return bad if len(bad) <= MAX_BAD_SHARE * len(states) else frozenset()
+    return bad if len(bad) <= MAX_EXCLUDED_SHARE * len(states) else frozenset()
 
 
 def has_healthy_server(
--- a/src/ramppin/gateway/request/serverchoice.py
+++ b/src/ramppin/gateway/request/serverchoice.py
@@ -56,7 +56,7 @@
             prefix_key,
             frozenset(survey.closed) | self._tried,
             context.share_connections(service),
-            context.find_bad_servers(service, survey.states, now),
+            context.find_failing_servers(service, survey.states, now),
             self._admission.fingerprint if self._watch.is_suspect() else None,
         )
         strategy = context.choose_strategy(prefix_key is not None)
