--- a/src/ramppin/gateway/process/routing/eligibility.py
+++ b/src/ramppin/gateway/process/routing/eligibility.py
@@ -44,8 +44,8 @@
     healthy = [state for state in untried if not state.health.is_suspect(now)]
     good = [state for state in healthy if state.id not in bad]
     preferred = good or healthy or untried
-    calm = [state for state in preferred if not state.shedding.is_likely(now)]
-    preferred = calm or preferred
+    accepting = [state for state in preferred if not state.shedding.is_likely(now)]
+    preferred = accepting or preferred
     if max_in_flight is None:
         return preferred
     with_room = [state for state in preferred if state.in_flight < max_in_flight]
