--- a/src/ramppin/gateway/process/routing/selection.py
+++ b/src/ramppin/gateway/process/routing/selection.py
@@ -89,7 +89,7 @@
             return None
         view = self._measure(states, now)
         if request.suspect_key is not None:
-            confined = _confine(request.suspect_key, eligible, view)
+            confined = _choose_for_suspect(request.suspect_key, eligible, view)
             if confined is not None:
                 return build_selection(confined, 1, view, now)
         return self._choose_among(request, eligible, view, now)
@@ -116,7 +116,7 @@
         """
 
 
-def _confine(
+def _choose_for_suspect(
     key: int, eligible: list[ServerState], view: LoadView
 ) -> ServerState | None:
     """Return the server for a request under which servers may have ended, or None.
