--- a/src/ramppin/gateway/process/routing/prefixselection.py
+++ b/src/ramppin/gateway/process/routing/prefixselection.py
@@ -93,7 +93,7 @@
         if home is not None and place == 0 and view.loads[home.id] < view.bound:
             chosen, rank = home.id, 0
         else:
-            chosen, rank = self._pass_home(key, by_id, place, view, now)
+            chosen, rank = self._choose_alternative(key, by_id, place, view, now)
         if home is not None and chosen == home.id:
             self._homes.note_used(key, now)
         return replace(
@@ -120,7 +120,7 @@
             return 1.0
         return peak / (HOT_HOME_SHARE * view.bound)
 
-    def _pass_home(
+    def _choose_alternative(
         self,
         key: int,
         by_id: dict[str, ServerState],
