--- a/src/ramppin/gateway/process/routing/prefixselection.py
+++ b/src/ramppin/gateway/process/routing/prefixselection.py
@@ -89,11 +89,13 @@
         # in an emptied failure domain, still has what would be read again elsewhere.
         last_home = self._homes.find_last(key)
         shared = self._measure_shared(key, home, view, now)
-        place = int(self._generator.random() * shared)
-        if home is not None and place == 0 and view.loads[home.id] < view.bound:
+        replica_index = int(self._generator.random() * shared)
+        if home is not None and replica_index == 0 and view.loads[home.id] < view.bound:
             chosen, rank = home.id, 0
         else:
-            chosen, rank = self._choose_alternative(key, by_id, place, view, now)
+            chosen, rank = self._choose_alternative(
+                key, by_id, replica_index, view, now
+            )
         if home is not None and chosen == home.id:
             self._homes.note_used(key, now)
         return replace(
@@ -124,7 +126,7 @@
         self,
         key: int,
         by_id: dict[str, ServerState],
-        place: int,
+        replica_index: int,
         view: LoadView,
         now: float,
     ) -> tuple[str, int]:
@@ -133,7 +135,7 @@
         Args:
             key: of the prefix.
             by_id: the servers to choose from.
-            place: which of those below the bound to use, the home being number 0.
+            replica_index: which of those below the bound to use, the home being number 0.
             view: the loads of all open servers.
             now: the loop's time.
         """
@@ -147,14 +149,14 @@
         elif home is None:
             chosen = _choose_home(below, view)
             self._homes.note_placed(key, chosen, now)
-        elif place == 0 and home in by_id:
+        elif replica_index == 0 and home in by_id:
             # The cold ones here are those at which this VM has a place now. They are
             # empty while others are at their worst load, and an unused place is lost.
             cold = [s for s in below if by_id[s].coldness.is_cold(now)]
             chosen = (cold or below)[0]
         else:
             below.sort(key=lambda server_id: server_id != home)
-            chosen = below[min(place, len(below) - 1)]
+            chosen = below[min(replica_index, len(below) - 1)]
         return chosen, 0 if chosen == home else 1 + ranked.index(chosen)
 
     def _measure(self, states: Sequence[ServerState], now: float) -> LoadView:
