--- a/src/ramppin/gateway/process/routing/prefixselection.py
+++ b/src/ramppin/gateway/process/routing/prefixselection.py
@@ -88,8 +88,8 @@
         # Asked for before the prefix is placed anew: a home that is leaving, or stands
         # in an emptied failure domain, still has what would be read again elsewhere.
         last_home = self._homes.find_last(key)
-        shared = self._measure_shared(key, home, view, now)
-        replica_index = int(self._generator.random() * shared)
+        replica_count = self._compute_replica_count(key, home, view, now)
+        replica_index = int(self._generator.random() * replica_count)
         if home is not None and replica_index == 0 and view.loads[home.id] < view.bound:
             chosen, rank = home.id, 0
         else:
@@ -101,10 +101,10 @@
         return replace(
             build_selection(by_id[chosen], rank, view, now),
             copy_from=last_home if last_home != chosen else None,
-            shared_by=math.ceil(shared),
+            shared_by=math.ceil(replica_count),
         )
 
-    def _measure_shared(
+    def _compute_replica_count(
         self, key: int, home: ServerState | None, view: LoadView, now: float
     ) -> float:
         """Return how many servers a prefix needs: 1 unless it is hot.
