--- a/src/ramppin/gateway/process/routing/nearestselection.py
+++ b/src/ramppin/gateway/process/routing/nearestselection.py
@@ -52,13 +52,13 @@
         """Return the server with the fewest own requests, a preferred one if equal."""
         servers = len(view.loads)
         below = [state for state in eligible if view.loads[state.id] < view.bound]
-        drawn, share = self._draw_clear(below or eligible, servers, now)
+        drawn, share = self._draw_candidates(below or eligible, servers, now)
         near = sum(self._is_near(state) for state in drawn)
         prefer_near = self._generator.random() < BOUND_RATIO * near / servers / share
         chosen = min(drawn, key=lambda s: self._weigh(s, prefer_near, now))
         return build_selection(chosen, 0, view, now)
 
-    def _draw_clear(
+    def _draw_candidates(
         self, states: list[ServerState], servers: int, now: float
     ) -> tuple[list[ServerState], float]:
         """Return servers to choose from, and the share of requests that get these.
@@ -66,12 +66,14 @@
         Those at which no other VM's requests are overdue, for their part; else the
         others.
         """
-        clear = [state for state in states if not state.waiting.count_told(now)]
-        share = min(1.0, BOUND_RATIO * len(clear) / servers)
+        without_overdue = [
+            state for state in states if not state.waiting.count_told(now)
+        ]
+        share = min(1.0, BOUND_RATIO * len(without_overdue) / servers)
         if self._generator.random() < share:
-            return clear, share
-        others = [state for state in states if state not in clear]
-        return others or clear, 1.0
+            return without_overdue, share
+        others = [state for state in states if state not in without_overdue]
+        return others or without_overdue, 1.0
 
     def _is_near(self, state: ServerState) -> bool:
         return state.server.failure_domain == self._failure_domain
