--- a/src/ramppin/gateway/process/routing/nearestselection.py
+++ b/src/ramppin/gateway/process/routing/nearestselection.py
@@ -55,7 +55,7 @@
         drawn, share = self._draw_candidates(below or eligible, servers, now)
         near = sum(self._is_near(state) for state in drawn)
         prefer_near = self._generator.random() < BOUND_RATIO * near / servers / share
-        chosen = min(drawn, key=lambda s: self._weigh(s, prefer_near, now))
+        chosen = min(drawn, key=lambda s: self._build_sort_key(s, prefer_near, now))
         return build_selection(chosen, 0, view, now)
 
     def _draw_candidates(
@@ -78,7 +78,7 @@
     def _is_near(self, state: ServerState) -> bool:
         return state.server.failure_domain == self._failure_domain
 
-    def _weigh(
+    def _build_sort_key(
         self, state: ServerState, prefer_near: bool, now: float
     ) -> tuple[float, float]:
         penalty = 0 if self._is_near(state) == prefer_near else OTHER_DOMAIN_PENALTY
