--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -79,7 +79,7 @@
         self._is_usable = is_usable
         self._young: dict[int, Home] = {}
         self._old: dict[int, Home] = {}
-        self._notices: dict[int, Home] = {}
+        self._pending: dict[int, Home] = {}
         self.changes = 0
         self.hot = HotPrefixes()
         self.has_placed = False
@@ -103,7 +103,7 @@
         """Note where a prompt without a usable home was placed."""
         home = Home(server, now, now)
         self._put(key, home)
-        self._notices[key] = home
+        self._pending[key] = home
         self.has_placed = True
 
     def note_used(self, key: int, now: float) -> None:
@@ -111,7 +111,7 @@
         home = self._find(key)
         if home is not None and now - home.announced_at > ANNOUNCE_AGAIN_S:
             home.announced_at = now
-            self._notices[key] = home
+            self._pending[key] = home
 
     def apply_announcement(self, notice: HomeAnnouncement, now: float) -> None:
         """Take another VM's announcement."""
@@ -124,21 +124,21 @@
         elif ours.server == theirs.server:
             ours.placed_at = min(ours.placed_at, theirs.placed_at)
             ours.announced_at = now
-            self._notices.pop(notice.key, None)
+            self._pending.pop(notice.key, None)
         elif _wins(notice.key, theirs, ours):
             self._put(notice.key, theirs)
-            self._notices.pop(notice.key, None)
+            self._pending.pop(notice.key, None)
         else:
-            self._notices[notice.key] = ours
+            self._pending[notice.key] = ours
 
     def collect_announcements(self, now: float, limit: int) -> list[HomeAnnouncement]:
         """Return what should be announced now, at most ``limit`` homes."""
-        keys = list(self._notices)[:limit]
-        self.has_placed = self.has_placed and len(self._notices) > limit
+        keys = list(self._pending)[:limit]
+        self.has_placed = self.has_placed and len(self._pending) > limit
         return [
             HomeAnnouncement(key, home.server, max(0.0, now - home.placed_at))
             for key in keys
-            if (home := self._notices.pop(key))
+            if (home := self._pending.pop(key))
         ]
 
     def list_newest(self, now: float, limit: int) -> list[HomeAnnouncement]:
