--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -117,19 +117,19 @@
         """Take another VM's announcement."""
         if not self._is_usable(notice.server):
             return
-        theirs = Home(notice.server, now - notice.age_s, now)
-        ours = self._find(notice.key)
-        if ours is None or not self._is_usable(ours.server):
-            self._put(notice.key, theirs)
-        elif ours.server == theirs.server:
-            ours.placed_at = min(ours.placed_at, theirs.placed_at)
-            ours.announced_at = now
+        reported = Home(notice.server, now - notice.age_s, now)
+        known = self._find(notice.key)
+        if known is None or not self._is_usable(known.server):
+            self._put(notice.key, reported)
+        elif known.server == reported.server:
+            known.placed_at = min(known.placed_at, reported.placed_at)
+            known.announced_at = now
             self._pending.pop(notice.key, None)
-        elif _wins(notice.key, theirs, ours):
-            self._put(notice.key, theirs)
+        elif _wins(notice.key, reported, known):
+            self._put(notice.key, reported)
             self._pending.pop(notice.key, None)
         else:
-            self._pending[notice.key] = ours
+            self._pending[notice.key] = known
 
     def collect_announcements(self, now: float, limit: int) -> list[HomeAnnouncement]:
         """Return what should be announced now, at most ``limit`` homes."""
@@ -168,8 +168,8 @@
             self._young = {}
 
 
-def _wins(key: int, theirs: Home, ours: Home) -> bool:
-    difference = theirs.placed_at - ours.placed_at
+def _wins(key: int, reported: Home, known: Home) -> bool:
+    difference = reported.placed_at - known.placed_at
     if abs(difference) > SAME_TIME_S:
         return difference < 0
-    return mix(key, hash_name(theirs.server)) > mix(key, hash_name(ours.server))
+    return mix(key, hash_name(reported.server)) > mix(key, hash_name(known.server))
