--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -132,8 +132,8 @@
         if not known:
             return
         for hint in hints.homes:
-            notice = HomeAnnouncement(hint.key, hint.server, hint.age_ms / 1000)
-            self._homes.apply_announcement(notice, now)
+            announcement = HomeAnnouncement(hint.key, hint.server, hint.age_ms / 1000)
+            self._homes.apply_announcement(announcement, now)
         self._homes.hot.take(hints.hot, now)
         self._loads.take(hints, now)
         self._words.take(hints.leaving, now)
@@ -186,10 +186,12 @@
 
     def _send(self, now: float) -> None:
         """Send what is new to all VMs, or a heartbeat to those it is due to."""
-        notices = self._homes.collect_announcements(now, HINTS_PER_DATAGRAM)
+        announcements = self._homes.collect_announcements(now, HINTS_PER_DATAGRAM)
         homes = [
-            HomeHint(notice.key, notice.server, int(notice.age_s * 1000))
-            for notice in notices
+            HomeHint(
+                announcement.key, announcement.server, int(announcement.age_s * 1000)
+            )
+            for announcement in announcements
         ]
         failures = self._servers.collect(now)
         loads = self._loads.collect(now)
@@ -197,7 +199,7 @@
         hot = self._homes.hot.collect()
         suspects = self._suspects.collect(now)
         has_news = (
-            bool(notices or failures or loads.waits or hot or suspects)
+            bool(announcements or failures or loads.waits or hot or suspects)
             or self._words.has_news
             or log_up != self._told_log_up
         )
--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -113,23 +113,23 @@
             home.announced_at = now
             self._pending[key] = home
 
-    def apply_announcement(self, notice: HomeAnnouncement, now: float) -> None:
+    def apply_announcement(self, announcement: HomeAnnouncement, now: float) -> None:
         """Take another VM's announcement."""
-        if not self._is_usable(notice.server):
+        if not self._is_usable(announcement.server):
             return
-        reported = Home(notice.server, now - notice.age_s, now)
-        known = self._find(notice.key)
+        reported = Home(announcement.server, now - announcement.age_s, now)
+        known = self._find(announcement.key)
         if known is None or not self._is_usable(known.server):
-            self._put(notice.key, reported)
+            self._put(announcement.key, reported)
         elif known.server == reported.server:
             known.placed_at = min(known.placed_at, reported.placed_at)
             known.announced_at = now
-            self._pending.pop(notice.key, None)
-        elif _wins(notice.key, reported, known):
-            self._put(notice.key, reported)
-            self._pending.pop(notice.key, None)
+            self._pending.pop(announcement.key, None)
+        elif _wins(announcement.key, reported, known):
+            self._put(announcement.key, reported)
+            self._pending.pop(announcement.key, None)
         else:
-            self._pending[notice.key] = known
+            self._pending[announcement.key] = known
 
     def collect_announcements(self, now: float, limit: int) -> list[HomeAnnouncement]:
         """Return what should be announced now, at most ``limit`` homes."""
--- a/src/ramppin/gateway/process/routing/homesnapshot.py
+++ b/src/ramppin/gateway/process/routing/homesnapshot.py
@@ -162,8 +162,10 @@
         now = asyncio.get_running_loop().time()
         changes, digest = self._homes.changes, self._suspects.digest
         homes = [
-            HomeHint(notice.key, notice.server, int(notice.age_s * 1000))
-            for notice in self._homes.list_newest(now, MAX_SNAPSHOT_HOMES)
+            HomeHint(
+                announcement.key, announcement.server, int(announcement.age_s * 1000)
+            )
+            for announcement in self._homes.list_newest(now, MAX_SNAPSHOT_HOMES)
         ]
         suspects = self._suspects.collect_held(now, MAX_SNAPSHOT_SUSPECTS)
         value = msgspec.msgpack.encode(HomeSnapshot(self._vm, homes, suspects))
