--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -125,7 +125,7 @@
             known.placed_at = min(known.placed_at, reported.placed_at)
             known.announced_at = now
             self._pending.pop(announcement.key, None)
-        elif _wins(announcement.key, reported, known):
+        elif _takes_precedence(announcement.key, reported, known):
             self._put(announcement.key, reported)
             self._pending.pop(announcement.key, None)
         else:
@@ -168,7 +168,7 @@
             self._young = {}
 
 
-def _wins(key: int, reported: Home, known: Home) -> bool:
+def _takes_precedence(key: int, reported: Home, known: Home) -> bool:
     difference = reported.placed_at - known.placed_at
     if abs(difference) > SAME_TIME_S:
         return difference < 0
