--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -27,7 +27,7 @@
 """Seconds after which a home in use is announced again, for VMs that missed it. Each
 announcement goes to every VM."""
 
-KEPT_HOMES = 20_000
+MAX_HOMES_PER_GENERATION = 20_000
 """Homes of one generation; two generations are kept."""
 
 
@@ -163,7 +163,7 @@
         if known is None or known.server != home.server:
             self.changes += 1
         self._young[key] = home
-        if len(self._young) >= KEPT_HOMES:
+        if len(self._young) >= MAX_HOMES_PER_GENERATION:
             self._old = self._young
             self._young = {}
 
