--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -19,7 +19,7 @@
 from ramppin.gateway.process.routing.hotprefixes import HotPrefixes
 from ramppin.ranking import hash_name, mix
 
-SAME_TIME_S = 0.5
+CONCURRENT_PLACEMENT_S = 0.5
 """Seconds within which two homes count as placed at the same time: ages travel in
 messages that take a while, so the order of closer ones is not known."""
 
@@ -170,6 +170,6 @@
 
 def _takes_precedence(key: int, reported: Home, known: Home) -> bool:
     difference = reported.placed_at - known.placed_at
-    if abs(difference) > SAME_TIME_S:
+    if abs(difference) > CONCURRENT_PLACEMENT_S:
         return difference < 0
     return mix(key, hash_name(reported.server)) > mix(key, hash_name(known.server))
