--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -23,7 +23,7 @@
 """Seconds within which two homes count as placed at the same time: ages travel in
 messages that take a while, so the order of closer ones is not known."""
 
-ANNOUNCE_AGAIN_S = 12.0
+REANNOUNCE_PERIOD_S = 12.0
 """Seconds after which a home in use is announced again, for VMs that missed it. Each
 announcement goes to every VM."""
 
@@ -109,7 +109,7 @@
     def note_used(self, key: int, now: float) -> None:
         """Note that a home was used; announce it again in time."""
         home = self._find(key)
-        if home is not None and now - home.announced_at > ANNOUNCE_AGAIN_S:
+        if home is not None and now - home.announced_at > REANNOUNCE_PERIOD_S:
             home.announced_at = now
             self._pending[key] = home
 
