--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -161,7 +161,9 @@
             self._due_at = now + self._choose_period()
             return True
         is_urgent = (
-            self._homes.has_placed or self._suspects.is_urgent or self._words.is_urgent
+            self._homes.has_pending_placement
+            or self._suspects.is_urgent
+            or self._words.is_urgent
         )
         return is_urgent and self._may_tell_all()
 
--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -69,7 +69,7 @@
 
     Attributes:
         changes: how often a prefix got another home, for the snapshot.
-        has_placed: whether a prefix was placed here that is not announced yet.
+        has_pending_placement: whether a prefix was placed here that is not announced yet.
         hot: prefixes that need more servers than their home.
 
     .. versionadded:: 0.2
@@ -82,7 +82,7 @@
         self._pending: dict[int, Home] = {}
         self.changes = 0
         self.hot = HotPrefixes()
-        self.has_placed = False
+        self.has_pending_placement = False
 
     def __len__(self) -> int:
         return len(self._young) + len(self._old)
@@ -104,7 +104,7 @@
         home = Home(server, now, now)
         self._put(key, home)
         self._pending[key] = home
-        self.has_placed = True
+        self.has_pending_placement = True
 
     def note_used(self, key: int, now: float) -> None:
         """Note that a home was used; announce it again in time."""
@@ -134,7 +134,9 @@
     def collect_announcements(self, now: float, limit: int) -> list[HomeAnnouncement]:
         """Return what should be announced now, at most ``limit`` homes."""
         keys = list(self._pending)[:limit]
-        self.has_placed = self.has_placed and len(self._pending) > limit
+        self.has_pending_placement = (
+            self.has_pending_placement and len(self._pending) > limit
+        )
         return [
             HomeAnnouncement(key, home.server, max(0.0, now - home.placed_at))
             for key in keys
