--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -94,7 +94,7 @@
             return None
         return home.server
 
-    def find_last(self, key: int) -> str | None:
+    def find_any(self, key: int) -> str | None:
         """Return the backend server that last had a prefix, usable or not."""
         home = self._find(key)
         return home.server if home else None
--- a/src/ramppin/gateway/process/routing/prefixselection.py
+++ b/src/ramppin/gateway/process/routing/prefixselection.py
@@ -87,7 +87,7 @@
         home = by_id.get(self._homes.find(key) or "")
         # Asked for before the prefix is placed anew: a home that is leaving, or stands
         # in an emptied failure domain, still has what would be read again elsewhere.
-        last_home = self._homes.find_last(key)
+        last_home = self._homes.find_any(key)
         replica_count = self._compute_replica_count(key, home, view, now)
         replica_index = int(self._generator.random() * replica_count)
         if home is not None and replica_index == 0 and view.loads[home.id] < view.bound:
