--- a/features/steps/gateway_wire_steps.py
+++ b/features/steps/gateway_wire_steps.py
@@ -300,7 +300,7 @@
     async def wait():
         now = asyncio.get_running_loop().time()
         context.connection.check_timeouts(now + wait_s * 0.5)
-        assert not context.connection.gone, "ended early"
+        assert not context.connection.closed, "ended early"
         context.connection.check_timeouts(now + wait_s)
         return await context.caller.wait_for_end()
 
--- a/src/ramppin/gateway/connection/callerwire.py
+++ b/src/ramppin/gateway/connection/callerwire.py
@@ -105,7 +105,7 @@
         self._responder = build_responder(self)
         self._transport: asyncio.Transport | None = None
         self._reader = RequestReader(self, lambda: state.limits)
-        self._waiting: deque[CallerRequest] = deque()
+        self._queue: deque[CallerRequest] = deque()
         self._current: CallerRequest | None = None
         self._received_at = self._loop.time()
         self._chunked = False
@@ -113,12 +113,12 @@
         self.opened_at = self._loop.time()
         self.idle_until: float | None = None
         self.head_due: float | None = None
-        self.gone = False
+        self.closed = False
 
     @property
     def idle(self) -> bool:
         """Whether no request is in flight, waiting or half received."""
-        return not (self._current or self._waiting or self._reader.incoming)
+        return not (self._current or self._queue or self._reader.incoming)
 
     # asyncio's side
 
@@ -132,7 +132,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse bytes of requests."""
-        if self.gone:
+        if self.closed:
             return
         if self.idle_until is not None:
             self.idle_until = None
@@ -149,9 +149,9 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Pass on that the caller is gone."""
-        self.gone = True
+        self.closed = True
         self._state.connections.discard(self)
-        self._waiting.clear()
+        self._queue.clear()
         if self._current is not None:
             self._responder.accept_disconnect()
 
@@ -174,10 +174,10 @@
     def accept_complete(self, request: CallerRequest) -> None:
         """Begin a request, or let it wait for the one in flight."""
         request.arrived = self._loop.time()
-        self._waiting.append(request)
+        self._queue.append(request)
         if self._current is None:
             self._start_next()
-        elif len(self._waiting) >= MAX_QUEUED and self._transport is not None:
+        elif len(self._queue) >= MAX_QUEUED and self._transport is not None:
             self._transport.pause_reading()
 
     # the responder's side
@@ -188,7 +188,7 @@
         In the middle of another answer it would be garbage: that one is cut.
         """
         request = self._current
-        if request is None or self.gone or self._transport is None:
+        if request is None or self.closed or self._transport is None:
             return
         if self._answer_started:
             self.abort()
@@ -202,7 +202,7 @@
     def start_stream(self, status: int, headers: Headers, length: int | None) -> None:
         """Send the head of an answer whose body follows in pieces."""
         request = self._current
-        if request is None or self.gone or self._transport is None:
+        if request is None or self.closed or self._transport is None:
             return
         self._answer_started = True
         sent = list(headers)
@@ -218,14 +218,14 @@
 
     def send_body(self, data: bytes) -> None:
         """Send a piece of a body."""
-        if self.gone or self._transport is None or not data:
+        if self.closed or self._transport is None or not data:
             return
         self._transport.write(encode_chunk(data) if self._chunked else data)
 
     def end_stream(self) -> None:
         """End a whole answer."""
         request = self._current
-        if request is None or self.gone or self._transport is None:
+        if request is None or self.closed or self._transport is None:
             return
         if self._chunked:
             self._transport.write(LAST_CHUNK)
@@ -233,7 +233,7 @@
 
     def abort(self) -> None:
         """Close without the end of the answer, so that it can't look whole."""
-        self.gone = True
+        self.closed = True
         self._current = None
         if self._transport is not None:
             self._transport.abort()
@@ -241,7 +241,7 @@
     def close_if_idle(self) -> None:
         """Close a connection that carries nothing."""
         if self.idle and self._transport is not None:
-            self.gone = True
+            self.closed = True
             self._transport.close()
 
     def check_timeouts(self, now: float) -> None:
@@ -258,7 +258,7 @@
     @property
     def _awaits_body(self) -> bool:
         """Whether a request's body is due, and no answer would be cut with it."""
-        if self._current or self._waiting or self._reader.incoming is None:
+        if self._current or self._queue or self._reader.incoming is None:
             return False
         return not self._reader.reads_head
 
@@ -275,7 +275,7 @@
         self.head_due = None
 
     def _start_next(self) -> None:
-        self._current = self._waiting.popleft()
+        self._current = self._queue.popleft()
         self._answer_started = False
         self._responder.accept_request(self._current)
 
@@ -291,10 +291,10 @@
         if self._transport is None:
             return
         if not request.keep_alive:
-            self.gone = True
+            self.closed = True
             self._transport.close()
             return
-        if self._waiting:
+        if self._queue:
             self._transport.resume_reading()
             self._start_next()
         elif self._reader.incoming is None:
@@ -304,12 +304,12 @@
 
     def _refuse(self, status: int, reason: str) -> None:
         """Answer a request that can't be read, and close."""
-        if self._transport is None or self.gone:
+        if self._transport is None or self.closed:
             return
         if self._current is None:
             headers = [(b"Content-Length", b"0"), (b"Connection", b"close")]
             self._transport.write(encode_answer(status, headers))
-            self.gone = True
+            self.closed = True
             self._transport.close()
         else:
             self._responder.accept_disconnect()
