--- a/src/ramppin/gateway/connection/reuse.py
+++ b/src/ramppin/gateway/connection/reuse.py
@@ -11,7 +11,7 @@
 IDLE_LIMIT_S = 4.0
 """Seconds for which an idle connection is kept."""
 
-IDLE_LIMIT_ONCE_S = 0.7
+IDLE_LIMIT_NOT_REPEATABLE_S = 0.7
 """Seconds after which an idle connection carries nothing that can't be repeated."""
 
 KEEP_ALIVE_SHARE = 0.5
@@ -25,7 +25,7 @@
     Args:
         repeatable: whether the request may be sent again if it fails.
     """
-    return IDLE_LIMIT_S if repeatable else IDLE_LIMIT_ONCE_S
+    return IDLE_LIMIT_S if repeatable else IDLE_LIMIT_NOT_REPEATABLE_S
 
 
 def may_reuse(idle_s: float, limit_s: float, keep_alive_s: float | None) -> bool:
