--- a/src/ramppin/gateway/process/recovery/recordapplier.py
+++ b/src/ramppin/gateway/process/recovery/recordapplier.py
@@ -128,10 +128,10 @@
         known = context.directory.find_newest(server.name)
         if known is not None and not self._apply_start(known, server, record):
             return
-        was_refused = known is not None and known.refused
+        was_unreadable = known is not None and known.unreadable
         state = context.directory.put(server)
         self._apply_coldness(state, record.offset)
-        if known is None or known.server != server or was_refused:
+        if known is None or known.server != server or was_unreadable:
             self._note_known(server, record.offset)
 
     def _apply_start(
@@ -184,7 +184,7 @@
     def _refuse_server(self, record: Record, reason: str) -> None:
         """Take no entry that can't be read; its server gets no new work meanwhile."""
         context = self._context
-        context.directory.refuse(record.key)
+        context.directory.mark_unreadable(record.key)
         context.metrics.refused_entries.inc("servers")
         context.decisions.note(
             "server_refused",
--- a/src/ramppin/gateway/process/routing/closure.py
+++ b/src/ramppin/gateway/process/routing/closure.py
@@ -62,7 +62,7 @@
     """
     if state.missing or state.restarted:
         return ClosureReason.GONE
-    if state.refused:
+    if state.unreadable:
         return ClosureReason.UNREADABLE
     if state.leaving:
         return ClosureReason.LEAVING
--- a/src/ramppin/gateway/process/routing/directory.py
+++ b/src/ramppin/gateway/process/routing/directory.py
@@ -78,16 +78,16 @@
             self._by_service[state.server.service].pop(server.id, None)
         state.server = server
         self._newest[server.name] = state
-        state.missing = state.refused = False
+        state.missing = state.unreadable = False
         state.held_until = None
         self._by_service.setdefault(server.service, {})[server.id] = state
         return state
 
-    def refuse(self, name: str) -> None:
+    def mark_unreadable(self, name: str) -> None:
         """Use a backend server no more until a good entry of it comes."""
         state = self._newest.get(name)
         if state is not None:
-            state.refused = True
+            state.unreadable = True
 
     def hold(self, name: str, until: float) -> None:
         """Go on using a server whose entry vanished around an outage of the log.
--- a/src/ramppin/gateway/process/routing/serverstate.py
+++ b/src/ramppin/gateway/process/routing/serverstate.py
@@ -80,7 +80,7 @@
         coldness: whether it is cold.
         words: what it said of itself in its answers.
         missing: whether its entry has vanished.
-        refused: whether its newest entry can't be read.
+        unreadable: whether its newest entry can't be read.
         restarted: whether it has ended, since a later start is known.
         held_until: the loop's time until which an entry that vanished around an
             outage of the log still counts, or None.
@@ -108,7 +108,7 @@
         self.coldness = ServerColdness()
         self.words = words or ServerWords()
         self.missing = False
-        self.refused = False
+        self.unreadable = False
         self.restarted = False
         self.held_until: float | None = None
 
