--- a/features/steps/platform_evacuation_steps.py
+++ b/features/steps/platform_evacuation_steps.py
@@ -137,7 +137,7 @@
     request = SelectionRequest(PREFIX)
     found = strategy.choose(request, directory.list_open("llm"), NOW)
     assert found.state is not home
-    copied = directory.find_source(found.copy_from, NOW)
+    copied = directory.find_copy_source(found.copy_from, NOW)
     assert copied == (home.server if source == "home" else None), found
 
 
--- a/features/steps/platform_restart_steps.py
+++ b/features/steps/platform_restart_steps.py
@@ -73,7 +73,7 @@
     assert not new.health.is_suspect(NOW)
     assert not new.evidence.is_bad("porto", 1.0, NOW)
     assert homes.find(7) is None
-    assert directory.find_source(homes.find_any(7), NOW) is None
+    assert directory.find_copy_source(homes.find_any(7), NOW) is None
     assert old.restarted
     assert find_lasting_closure(old, Evacuations()) is ClosureReason.GONE
     context.old, context.new = old, new
--- a/src/ramppin/gateway/process/routing/directory.py
+++ b/src/ramppin/gateway/process/routing/directory.py
@@ -136,7 +136,9 @@
         """Return the services that have, or had, backend servers."""
         return list(self._by_service)
 
-    def find_source(self, server_id: str | None, now: float) -> BackendServer | None:
+    def find_copy_source(
+        self, server_id: str | None, now: float
+    ) -> BackendServer | None:
         """Return a server from which a prefix can be copied, or None.
 
         One that is leaving will do, as long as it answers and is not yet gone.
--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -268,7 +268,7 @@
             note_word=lambda word: self._note_word(state, word),
         )
         self._attempt = attempt
-        source = self._context.directory.find_source(selection.copy_from, now)
+        source = self._context.directory.find_copy_source(selection.copy_from, now)
         head = builder.build(state.server.name, self._ends_at - now, source)
         self._progress.runs += 1
         state.health.note_sent(now)
