--- a/src/ramppin/gateway/process/operations.py
+++ b/src/ramppin/gateway/process/operations.py
@@ -99,7 +99,7 @@
             "started_ms": state.server.started_ms,
             "service": state.server.service,
             "failure_domain": state.server.failure_domain,
-            "open": self._context.directory.may_get_work(state),
+            "open": self._context.directory.accepts_new_requests(state),
             "closed": closure.reason.value if closure else "",
             "opens_s": None if opens_at is None else _shorten(opens_at - now),
             "in_flight": state.in_flight,
--- a/src/ramppin/gateway/process/routing/directory.py
+++ b/src/ramppin/gateway/process/routing/directory.py
@@ -126,9 +126,9 @@
     def is_open(self, server_id: str) -> bool:
         """Return whether a backend server may get new work."""
         state = self._states.get(server_id)
-        return state is not None and self.may_get_work(state)
+        return state is not None and self.accepts_new_requests(state)
 
-    def may_get_work(self, state: ServerState) -> bool:
+    def accepts_new_requests(self, state: ServerState) -> bool:
         """Return whether nothing lasting closes a server."""
         return find_lasting_closure(state, self.evacuations) is None
 
@@ -154,7 +154,7 @@
 
     def list_open(self, service: str) -> list[ServerState]:
         """Return the backend servers of a service that nothing lasting closes."""
-        return [s for s in self.list_service(service) if self.may_get_work(s)]
+        return [s for s in self.list_service(service) if self.accepts_new_requests(s)]
 
     def list_domain(self, domain: str) -> list[ServerState]:
         """Return the backend servers of a failure domain."""
