--- a/src/ramppin/gateway/process/recovery/recordapplier.py
+++ b/src/ramppin/gateway/process/recovery/recordapplier.py
@@ -141,7 +141,7 @@
         context = self._context
         entry_started_ms, known_ms = server.started_ms, known.server.started_ms
         verdict = judge_start(known_ms, entry_started_ms)
-        if verdict is StartVerdict.UNTOLD:
+        if verdict is StartVerdict.UNSTATED:
             self._refuse_server(record, f"no start, where {known_ms} was known")
             return False
         if verdict is StartVerdict.EARLIER:
--- a/src/ramppin/gateway/process/routing/incarnation.py
+++ b/src/ramppin/gateway/process/routing/incarnation.py
@@ -15,23 +15,23 @@
     SAME = "same"
     LATER = "later"
     EARLIER = "earlier"
-    UNTOLD = "untold"
+    UNSTATED = "untold"
     """The known start was told, this entry tells none: another writer's."""
 
 
-def judge_start(known_ms: int | None, told_ms: int | None) -> StartVerdict:
+def judge_start(known_ms: int | None, entry_ms: int | None) -> StartVerdict:
     """Return what an entry's start says beside the known one.
 
     A server that never tells its start is one incarnation as long as its entry lasts.
 
     Args:
         known_ms: start of the known incarnation, Unix time in milliseconds, or None.
-        told_ms: start that the entry tells, or None.
+        entry_ms: start that the entry tells, or None.
     """
-    if told_ms == known_ms:
+    if entry_ms == known_ms:
         return StartVerdict.SAME
-    if told_ms is None:
-        return StartVerdict.UNTOLD
-    if known_ms is None or told_ms > known_ms:
+    if entry_ms is None:
+        return StartVerdict.UNSTATED
+    if known_ms is None or entry_ms > known_ms:
         return StartVerdict.LATER
     return StartVerdict.EARLIER
