--- a/src/ramppin/gateway/process/routing/evacuation.py
+++ b/src/ramppin/gateway/process/routing/evacuation.py
@@ -69,7 +69,7 @@
         return self._by_domain.pop(domain, None)
 
 
-def read_domain(key: str, prefix: str) -> str | None:
+def parse_domain(key: str, prefix: str) -> str | None:
     """Return the failure domain that follows a prefix in a key, or None.
 
     Raises:
--- a/src/ramppin/gateway/version/routingfile.py
+++ b/src/ramppin/gateway/version/routingfile.py
@@ -13,7 +13,7 @@
 from ramppin.errors import SettingsError
 from ramppin.gateway.process.recovery.replica import Record
 from ramppin.gateway.process.recovery.sources import RecordDecoder
-from ramppin.gateway.process.routing.evacuation import EVACUATION_PREFIX, read_domain
+from ramppin.gateway.process.routing.evacuation import EVACUATION_PREFIX, parse_domain
 from ramppin.gateway.process.routing.serverstate import BackendServer
 from ramppin.gateway.version.address import parse_address
 from ramppin.gateway.version.routing import (
@@ -139,7 +139,7 @@
 
     def find_evacuated(self, record: Record) -> str | None:
         """Return the failure domain that a record empties, or None."""
-        return read_domain(record.key, EVACUATION_PREFIX)
+        return parse_domain(record.key, EVACUATION_PREFIX)
 
     def decode_server(self, record: Record) -> BackendServer:
         """Return the backend server of a record."""
