--- a/features/steps/gateway_hot_prefix_steps.py
+++ b/features/steps/gateway_hot_prefix_steps.py
@@ -63,7 +63,7 @@
         now += float(after)
         for _ in range(int(prompts)):
             prefixes.count_prompt()
-        prefixes.note_met(PREFIX, servers, now)
+        prefixes.note_home_at_bound(PREFIX, servers, now)
     assert prefixes.is_hot(PREFIX, now) is is_yes(hot)
     assert not prefixes.is_hot(PREFIX, now + 5.1)
 
@@ -77,7 +77,7 @@
     told = []
     for tenth in range(30):
         finder.count_prompt()
-        finder.note_met(PREFIX, SERVERS, NOW + tenth / 10)
+        finder.note_home_at_bound(PREFIX, SERVERS, NOW + tenth / 10)
         told += finder.collect()
     assert told == [PREFIX, PREFIX], told
     hearer.take(told, NOW)
--- a/features/steps/platform_evacuation_steps.py
+++ b/features/steps/platform_evacuation_steps.py
@@ -93,7 +93,7 @@
     exclude, most, suspect = frozenset(), None, None
     if way == "has a hot prefix":
         for _ in range(9):
-            homes.hot.note_met(PREFIX, 3, NOW)
+            homes.hot.note_home_at_bound(PREFIX, 3, NOW)
     elif way == "tried every other server":
         exclude = frozenset(state.id for state in others)
     elif way == "finds every other server ejected":
--- a/src/ramppin/gateway/process/routing/hotprefixes.py
+++ b/src/ramppin/gateway/process/routing/hotprefixes.py
@@ -57,7 +57,7 @@
         """Count a prompt of this VM, of any prefix."""
         self._prompts += 1
 
-    def note_met(self, key: int, servers: int, now: float) -> None:
+    def note_home_at_bound(self, key: int, servers: int, now: float) -> None:
         """Note that the prompt counted last has a prefix whose home fills up.
 
         Args:
--- a/src/ramppin/gateway/process/routing/prefixselection.py
+++ b/src/ramppin/gateway/process/routing/prefixselection.py
@@ -117,7 +117,7 @@
         peak = home.load.find_peak(now)
         if peak < view.bound:
             return 1.0
-        self._homes.hot.note_met(key, len(view.loads), now)
+        self._homes.hot.note_home_at_bound(key, len(view.loads), now)
         if not self._homes.hot.is_hot(key, now):
             return 1.0
         return peak / (HOT_HOME_SHARE * view.bound)
