--- a/src/ramppin/gateway/process/routing/hotprefixes.py
+++ b/src/ramppin/gateway/process/routing/hotprefixes.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Meeting:
+class _LastPrompt:
     """When this VM last met a prefix: the loop's time, and the prompt's number."""
 
     at: float
@@ -49,7 +49,7 @@
 
     def __init__(self) -> None:
         self._prompts = 0
-        self._met: dict[int, _Meeting] = {}
+        self._last_prompts: dict[int, _LastPrompt] = {}
         self._hot_at: dict[int, float] = {}
         self._news: dict[int, None] = {}
 
@@ -65,8 +65,8 @@
             servers: how many the prompt's service has.
             now: the loop's time.
         """
-        last = self._met.get(key)
-        _put_newest(self._met, key, _Meeting(now, self._prompts))
+        last = self._last_prompts.get(key)
+        _put_newest(self._last_prompts, key, _LastPrompt(now, self._prompts))
         if last is None or now - last.at > HOT_S:
             return
         if self._prompts - last.prompt > HOT_PARTS * servers:
