--- a/src/ramppin/gateway/process/routing/hotprefixes.py
+++ b/src/ramppin/gateway/process/routing/hotprefixes.py
@@ -51,7 +51,7 @@
         self._prompts = 0
         self._last_prompts: dict[int, _LastPrompt] = {}
         self._hot_at: dict[int, float] = {}
-        self._news: dict[int, None] = {}
+        self._pending: dict[int, None] = {}
 
     def count_prompt(self) -> None:
         """Count a prompt of this VM, of any prefix."""
@@ -72,7 +72,7 @@
         if self._prompts - last.prompt > HOT_PARTS * servers:
             return
         if now - self._hot_at.get(key, NEVER) > HOT_S / 2:
-            self._news[key] = None
+            self._pending[key] = None
             self.take([key], now)
 
     def is_hot(self, key: int, now: float) -> bool:
@@ -86,9 +86,9 @@
 
     def collect(self) -> list[int]:
         """Return the prefixes that this VM found hot since the last call."""
-        keys = list(self._news)[:PREFIXES_PER_MESSAGE]
+        keys = list(self._pending)[:PREFIXES_PER_MESSAGE]
         for key in keys:
-            del self._news[key]
+            del self._pending[key]
         return keys
 
 
