--- a/src/ramppin/gateway/process/routing/hotprefixes.py
+++ b/src/ramppin/gateway/process/routing/hotprefixes.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-HOT_S = 5.0
+HOT_PERIOD_S = 5.0
 """Seconds within which a prefix must be met again to be hot, and for which it then is.
 A cold one that two callers happened to ask for is taken for hot as long."""
 
-HOT_PARTS = 0.5
+MAX_PROMPTS_PER_SERVER = 0.5
 """Parts of one server within which a prefix must be met again to be hot: with 37
 servers among 18 prompts of this VM. One that is a thousandth of the prompts is so by
 chance once in 50."""
@@ -67,17 +67,17 @@
         """
         last = self._last_prompts.get(key)
         _put_newest(self._last_prompts, key, _LastPrompt(now, self._prompts))
-        if last is None or now - last.at > HOT_S:
+        if last is None or now - last.at > HOT_PERIOD_S:
             return
-        if self._prompts - last.prompt > HOT_PARTS * servers:
+        if self._prompts - last.prompt > MAX_PROMPTS_PER_SERVER * servers:
             return
-        if now - self._hot_at.get(key, NEVER) > HOT_S / 2:
+        if now - self._hot_at.get(key, NEVER) > HOT_PERIOD_S / 2:
             self._pending[key] = None
             self.take([key], now)
 
     def is_hot(self, key: int, now: float) -> bool:
         """Return whether a prefix needs more servers than its home."""
-        return now - self._hot_at.get(key, NEVER) <= HOT_S
+        return now - self._hot_at.get(key, NEVER) <= HOT_PERIOD_S
 
     def take(self, keys: Iterable[int], now: float) -> None:
         """Take the prefixes that a VM found hot."""
