--- a/src/ramppin/gateway/process/routing/hotprefixes.py
+++ b/src/ramppin/gateway/process/routing/hotprefixes.py
@@ -21,7 +21,7 @@
 servers among 18 prompts of this VM. One that is a thousandth of the prompts is so by
 chance once in 50."""
 
-KEPT_PREFIXES = 1000
+MAX_PREFIXES = 1000
 """Prefixes of which each table keeps the time: the newest."""
 
 PREFIXES_PER_MESSAGE = 8
@@ -96,5 +96,5 @@
     """Put an entry behind all others; the oldest one gives way."""
     table.pop(key, None)
     table[key] = value
-    if len(table) > KEPT_PREFIXES:
+    if len(table) > MAX_PREFIXES:
         del table[next(iter(table))]
