--- a/bench/vms/clock.py
+++ b/bench/vms/clock.py
@@ -23,7 +23,7 @@
 from ramppin.gateway.process.routing.failuregossip import FailureGossip
 from ramppin.gateway.process.routing.hints import SHORTEST_PERIOD_S, HintExchange
 from ramppin.gateway.process.routing.homes import PrefixHomes
-from ramppin.gateway.process.routing.noticegossip import WordNews
+from ramppin.gateway.process.routing.noticegossip import NoticeGossip
 
 LATENCY_S = 0.001
 """One way between two VMs, or a VM and a server."""
@@ -92,7 +92,7 @@
             self.homes,
             FailureGossip(self.directory, self.domain),
             LoadGossip(self.directory),
-            words=WordNews(self.directory),
+            notices=NoticeGossip(self.directory),
         )
 
 
--- a/bench/vms/shedding.py
+++ b/bench/vms/shedding.py
@@ -131,7 +131,7 @@
         state.in_flight -= 1
 
     def _take_rest(self, vm: ModelVm, server_id: str) -> None:
-        vm.directory.words.note_rest(server_id, REST_S, self.now)
+        vm.directory.notices.note_rest(server_id, REST_S, self.now)
         # The product's loop wakes for news; here the VM's turn comes at once.
         vm.hints.send_due(self.now)
 
--- a/features/gateway_lines.py
+++ b/features/gateway_lines.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from features.gateway_support import GatewayFixture, build_tree, encode_request
-from ramppin.gateway.process.membership.servernotices import WordSource
+from ramppin.gateway.process.membership.servernotices import NoticeSource
 from ramppin.gateway.process.reporting.decisions import DecisionLog
 from ramppin.gateway.process.stalldetector import STALL_S
 from ramppin.gateway.request.admission import Denial
@@ -101,13 +101,13 @@
         await self._wait_for_event("attempt_failed")
 
     async def _hear_words(self) -> None:
-        words, now = (
-            self._gateway.context.directory.words,
+        notices, now = (
+            self._gateway.context.directory.notices,
             asyncio.get_running_loop().time(),
         )
-        words.note_leaving("p2", WordSource.ANSWER, now)
+        notices.note_leaving("p2", NoticeSource.ANSWER, now)
         await self._wait_for_event("server_closed")
-        words.note_rest("p2", 0.1, now)
+        notices.note_rest("p2", 0.1, now)
         await self._wait_for_event("server_opened")
 
     async def _quarantine_request(self) -> None:
--- a/features/steps/interface_steps.py
+++ b/features/steps/interface_steps.py
@@ -35,7 +35,7 @@
     WaitHint,
 )
 from ramppin.gateway.process.membership.members import MemberRecord
-from ramppin.gateway.process.membership.servernotices import WordSource
+from ramppin.gateway.process.membership.servernotices import NoticeSource
 from ramppin.gateway.process.quarantine.quarantine import ChangeKind
 from ramppin.gateway.process.recovery.logcontact import LogCall
 from ramppin.gateway.process.recovery.peermessages import (
@@ -319,7 +319,7 @@
         "endings": sorted(ending.name.lower() for ending in Ending),
         "ends of attempts": sorted(end.value for end in AttemptEnd),
         "closure reasons": sorted(reason.value for reason in ClosureReason),
-        "sources of closures": sorted(source.value for source in WordSource),
+        "sources of closures": sorted(source.value for source in NoticeSource),
         "quarantine events": sorted(kind.value for kind in ChangeKind),
         "log calls": sorted(call.value for call in LogCall),
         "kinds of routes": sorted(kind.value for kind in RouteKind),
--- a/features/steps/server_word_exchange_steps.py
+++ b/features/steps/server_word_exchange_steps.py
@@ -107,9 +107,9 @@
 def step_after_rest(context, rest, count, path, name):
     async def wait() -> None:
         directory = context.fixture.gateway.context.directory
-        words = directory.find_newest(name).words
+        notices = directory.find_newest(name).notices
         await wait_for(
-            lambda: words.find_rest_end(context.loop.time()) is None, "it has rested"
+            lambda: notices.find_rest_end(context.loop.time()) is None, "it has rested"
         )
         assert context.loop.time() >= context.rested_at + rest
 
--- a/features/steps/server_word_fleet_steps.py
+++ b/features/steps/server_word_fleet_steps.py
@@ -9,10 +9,10 @@
 from bench.vms.clock import VmClock
 from features.gateway_support import read_names
 from ramppin.gateway.connection.datagrams import LeavingHint
-from ramppin.gateway.process.membership.servernotices import WordSource
+from ramppin.gateway.process.membership.servernotices import NoticeSource
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.eligibility import list_eligible
-from ramppin.gateway.process.routing.noticegossip import WordNews
+from ramppin.gateway.process.routing.noticegossip import NoticeGossip
 from ramppin.gateway.process.routing.serverstate import BackendServer
 
 UNIX_S = 1_700_000_000
@@ -31,7 +31,7 @@
 
     def __init__(self, servers: list[str]) -> None:
         self.directory = ServerDirectory(read_time=lambda: UNIX_S + 65)
-        self.news = WordNews(self.directory)
+        self.news = NoticeGossip(self.directory)
         for server_id in servers:
             self.directory.put(build_entry(server_id))
 
@@ -55,8 +55,8 @@
 @when('"{vm}" hears from "{server}" that it leaves')
 def step_hear(context, vm, server):
     found = context.vms[vm]
-    words = found.directory.words
-    words.note_leaving(found.find_id(server), WordSource.ANSWER, context.now)
+    notices = found.directory.notices
+    notices.note_leaving(found.find_id(server), NoticeSource.ANSWER, context.now)
 
 
 @when('"{vm}" hears from {count:d} servers that they leave')
@@ -184,7 +184,7 @@
 def step_asked(context, vms, server, rest):
     for name in read_names(vms):
         vm = context.vms[name]
-        vm.directory.words.note_rest(server, rest, context.now)
+        vm.directory.notices.note_rest(server, rest, context.now)
         hints = vm.news.collect_rests(context.now)
         for other in context.vms.values():
             if other is not vm:
@@ -193,7 +193,7 @@
 
 @when('"{vm}" is asked by "{server}" for {rest:g} s of rest')
 def step_is_asked(context, vm, server, rest):
-    context.vms[vm].directory.words.note_rest(server, rest, context.now)
+    context.vms[vm].directory.notices.note_rest(server, rest, context.now)
 
 
 @then('after {seconds:g} s "{vm}" prefers "{servers}"')
@@ -239,8 +239,8 @@
 )
 def step_deaf(context, vms, domains):
     context.clock = DeafClock(vms, domains)
-    words = context.clock.vms[0].directory.words
-    words.note_leaving("i-1", WordSource.ANSWER, 0.0)
+    notices = context.clock.vms[0].directory.notices
+    notices.note_leaving("i-1", NoticeSource.ANSWER, 0.0)
     context.clock.run_until(1.0)
 
 
--- a/features/steps/server_word_steps.py
+++ b/features/steps/server_word_steps.py
@@ -9,7 +9,7 @@
 from features.gateway_support import is_yes
 from ramppin.gateway.connection.httpwire import HeaderNames
 from ramppin.gateway.connection.upstream import AnswerHead
-from ramppin.gateway.process.membership.servernotices import WordSource
+from ramppin.gateway.process.membership.servernotices import NoticeSource
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.gate import ServerGate
 from ramppin.gateway.process.routing.incarnation import StartVerdict, judge_start
@@ -17,7 +17,7 @@
 from ramppin.gateway.process.routing.serverstate import BackendServer
 from ramppin.gateway.request.retry import Progress, judge_try
 from ramppin.gateway.request.retryafter import choose_retry_after_s
-from ramppin.gateway.request.servernotice import read_word
+from ramppin.gateway.request.servernotice import parse_notice
 
 NAMES = HeaderNames()
 WALL_TIME = 784111767.0
@@ -26,7 +26,7 @@
 
 def read(status, *headers, wall_time=WALL_TIME):
     head = AnswerHead(status, list(headers), 0)
-    return read_word(head, NAMES, lambda: wall_time)
+    return parse_notice(head, NAMES, lambda: wall_time)
 
 
 def encode_rests(values):
@@ -35,16 +35,16 @@
 
 @then('an answer {status:d} with "Retry-After: {value}" asks for a rest of {rest:g} s')
 def step_rest(context, status, value, rest):
-    word = read(status, *encode_rests([value]))
-    assert word.rest_s == rest, word
-    assert not word.unreadable, word
+    notice = read(status, *encode_rests([value]))
+    assert notice.rest_s == rest, notice
+    assert not notice.unreadable, notice
 
 
 @then('an answer 503 with "Retry-After: {value}" asks for no rest that can be read')
 def step_unreadable(context, value):
-    word = read(503, *encode_rests([value]))
-    assert word.rest_s == 0, word
-    assert word.unreadable == value.encode(), word
+    notice = read(503, *encode_rests([value]))
+    assert notice.rest_s == 0, notice
+    assert notice.unreadable == value.encode(), notice
 
 
 @then('an answer 503 with the times of rest "{values}" asks for a rest of {rest:g} s')
@@ -54,13 +54,13 @@
 
 @then("a rest until 10 s after the answer's date lasts 10 s by a clock an hour off")
 def step_date(context):
-    word = read(
+    notice = read(
         503,
         (b"Date", b"Sun, 06 Nov 1994 08:49:27 GMT"),
         (b"Retry-After", b"Sun, 06 Nov 1994 08:49:37 GMT"),
         wall_time=WALL_TIME + 3600,
     )
-    assert word.rest_s == 10, word
+    assert notice.rest_s == 10, notice
 
 
 @then(
@@ -68,8 +68,8 @@
     "{leaves}"
 )
 def step_leaving(context, status, value, leaves):
-    word = read(status, (NAMES.leaving, value.encode()))
-    assert word.leaving == is_yes(leaves), word
+    notice = read(status, (NAMES.leaving, value.encode()))
+    assert notice.leaving == is_yes(leaves), notice
 
 
 @then('an answer {status:d} with the word of leaving "" says that it leaves: {leaves}')
@@ -91,7 +91,7 @@
             directory.remove_missing(1.0)
         elif entry == "said":
             server_id = known.id if known else f"i-1@{(WORD_S - 60) * 1000}"
-            directory.words.note_leaving(server_id, WordSource.ANSWER, 1.0)
+            directory.notices.note_leaving(server_id, NoticeSource.ANSWER, 1.0)
         else:
             started_ms = None if entry == "?" else (WORD_S + int(entry)) * 1000
             server = BackendServer(
@@ -109,10 +109,10 @@
     directory = ServerDirectory()
     for number in range(count):
         directory.put(BackendServer(f"i-{number}", "plain", "127.0.0.1", 1))
-        directory.words.note_leaving(f"i-{number}", WordSource.ANSWER, 1.0)
+        directory.notices.note_leaving(f"i-{number}", NoticeSource.ANSWER, 1.0)
         directory.mark_missing(f"i-{number}")
         directory.remove_missing(1.0)
-    assert len(directory.words) == KEPT_STARTS
+    assert len(directory.notices) == KEPT_STARTS
     directory.put(BackendServer(f"i-{count - 1}", "plain", "127.0.0.1", 1))
     assert not directory.is_open(f"i-{count - 1}")
 
@@ -126,7 +126,7 @@
         if word.startswith("@"):
             now += float(word[1:])
         else:
-            directory.words.note_rest(state.id, float(word), now)
+            directory.notices.note_rest(state.id, float(word), now)
     closed = gate.survey("plain", now).closed
     assert bool(closed) == (left > 0), closed
     if left:
--- a/features/steps/server_word_waiting_steps.py
+++ b/features/steps/server_word_waiting_steps.py
@@ -10,7 +10,7 @@
 from features.gateway_support import HOST
 from features.steps.server_word_exchange_steps import run, write_entry
 from ramppin.gateway.connection.requestreader import CallerRequest
-from ramppin.gateway.process.membership.servernotices import WordSource
+from ramppin.gateway.process.membership.servernotices import NoticeSource
 from ramppin.gateway.request.fingerprint import hash_request
 from ramppin.gateway.version.routing import Customer
 from standins.common import wait_for
@@ -59,9 +59,9 @@
 
     async def happen(name: str) -> None:
         if word == "says that it leaves":
-            directory.words.note_leaving(name, WordSource.ANSWER, now)
+            directory.notices.note_leaving(name, NoticeSource.ANSWER, now)
         elif word == "asks for rest":
-            directory.words.note_rest(name, 5.0, now)
+            directory.notices.note_rest(name, 5.0, now)
         elif word == "says in its entry that it leaves":
             await write_entry(context, name, draining=True)
         elif word == "vanishes":
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -36,14 +36,14 @@
 from ramppin.gateway.process.recovery.peeranswers import RecordsResponder
 from ramppin.gateway.process.recovery.tables import GatewaySources, GatewayTables
 from ramppin.gateway.process.reporting.decisions import DecisionLog
-from ramppin.gateway.process.reporting.noticelines import WordLines
+from ramppin.gateway.process.reporting.noticelines import NoticeLines
 from ramppin.gateway.process.reporting.quarantinelines import note_quarantine
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.failuregossip import FailureGossip
 from ramppin.gateway.process.routing.hints import HintExchange
 from ramppin.gateway.process.routing.homes import PrefixHomes
 from ramppin.gateway.process.routing.nearestselection import NearestSelection
-from ramppin.gateway.process.routing.noticegossip import WordNews
+from ramppin.gateway.process.routing.noticegossip import NoticeGossip
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
 from ramppin.gateway.process.stalldetector import STALL_S, Turns
 from ramppin.gateway.request.responder import ExchangeResponder
@@ -165,7 +165,7 @@
             LoadGossip(self.context.directory),
             self.tables.contact.is_up,
             self._suspects,
-            WordNews(self.context.directory),
+            NoticeGossip(self.context.directory),
         )
         for work in (*self.tables.list_work(), self._hints.run(), self._sweep()):
             task = asyncio.create_task(work)
@@ -297,7 +297,7 @@
         """Close what is idle too long, and write decision lines."""
         loop = asyncio.get_running_loop()
         context = self.context
-        words = WordLines(context)
+        notices = NoticeLines(context)
         refilled_at = loop.time()
         while True:
             await asyncio.sleep(SWEEP_S)
@@ -309,7 +309,7 @@
             self.tables.remove_missing(now)
             context.quarantine.forget(now)
             note_quarantine(context, now)
-            words.note(now)
+            notices.note(now)
             context.live_vms = 1 + len(self.tables.members.list_live(now))
             context.retry_budget.set_live_vms(context.live_vms)
             if now - refilled_at >= REFILL_S:
--- a/src/ramppin/gateway/process/membership/servernotices.py
+++ b/src/ramppin/gateway/process/membership/servernotices.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 
-class WordSource(Enum):
+class NoticeSource(Enum):
     """Who brought a server's word; the value stands in lines."""
 
     ANSWER = "answer"
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeavingWord:
+class LeavingNotice:
     """A server's word that it takes nothing new.
 
     Attributes:
@@ -29,7 +29,7 @@
         heard_at: the loop's time at which this VM heard it.
     """
 
-    source: WordSource
+    source: NoticeSource
     heard_at: float
 
 
@@ -48,7 +48,7 @@
     asked: int = 1
 
 
-class ServerWords:
+class ServerNotices:
     """What one start of a server has said.
 
     Attributes:
@@ -61,7 +61,7 @@
     """
 
     def __init__(self) -> None:
-        self.leaving: LeavingWord | None = None
+        self.leaving: LeavingNotice | None = None
         self.rest: RestWord | None = None
         self.heard_ms = 0
 
@@ -76,11 +76,11 @@
             return None
         return self.rest.until
 
-    def note_leaving(self, word: LeavingWord) -> bool:
+    def note_leaving(self, notice: LeavingNotice) -> bool:
         """Take the word that it leaves; return whether that is news."""
         if self.leaving is not None:
             return False
-        self.leaving = word
+        self.leaving = notice
         return True
 
     def note_rest(self, rest_s: float, now: float) -> bool:
--- a/src/ramppin/gateway/process/reporting/noticelines.py
+++ b/src/ramppin/gateway/process/reporting/noticelines.py
@@ -7,7 +7,7 @@
 from ramppin.gateway.process.context import GatewayContext
 from ramppin.gateway.process.membership.servernotices import RestWord
 from ramppin.gateway.process.routing.closure import ClosureReason
-from ramppin.gateway.process.routing.noticeregistry import WordChange
+from ramppin.gateway.process.routing.noticeregistry import NoticeChange
 
 LONG_REST_S = 60.0
 """Seconds of rest above which someone should look: the server is lost for as long."""
@@ -15,7 +15,7 @@
 LOG = logging.getLogger(__name__)
 
 
-class WordLines:
+class NoticeLines:
     """Writes when a server's word closes it, and when that ends.
 
     Args:
@@ -34,15 +34,15 @@
         Args:
             now: the loop's time.
         """
-        for change in self._context.directory.words.take_changes():
+        for change in self._context.directory.notices.take_changes():
             self._note_closed(change, now)
         over = [name for name, rest in self._resting.items() if now >= rest.until]
         for server_id in over:
             self._note_opened(server_id, self._resting.pop(server_id))
 
-    def _note_closed(self, change: WordChange, now: float) -> None:
-        words, server_id = change.words, change.server_id
-        leaving, rest = words.leaving, words.rest
+    def _note_closed(self, change: NoticeChange, now: float) -> None:
+        notices, server_id = change.notices, change.server_id
+        leaving, rest = notices.leaving, notices.rest
         source, heard_at, rest_s = "answer", now, 0.0
         if change.reason is ClosureReason.LEAVING and leaving is not None:
             source, heard_at = leaving.source.value, leaving.heard_at
--- a/src/ramppin/gateway/process/routing/directory.py
+++ b/src/ramppin/gateway/process/routing/directory.py
@@ -12,7 +12,7 @@
 from ramppin.gateway.process.load.times import ServiceTimes
 from ramppin.gateway.process.routing.closure import find_lasting_closure
 from ramppin.gateway.process.routing.evacuation import Evacuations
-from ramppin.gateway.process.routing.noticeregistry import WordBook
+from ramppin.gateway.process.routing.noticeregistry import NoticeRegistry
 from ramppin.gateway.process.routing.serverstate import BackendServer, ServerState
 from ramppin.gateway.process.stalldetector import Turns
 
@@ -27,7 +27,7 @@
     Attributes:
         turns: of this process.
         evacuations: failure domains whose servers get no new work.
-        words: what servers have said in their answers.
+        notices: what servers have said in their answers.
 
     .. versionadded:: 0.2
     """
@@ -39,7 +39,7 @@
     ) -> None:
         self.turns = turns or Turns()
         self.evacuations = Evacuations()
-        self.words = WordBook(read_time)
+        self.notices = NoticeRegistry(read_time)
         self._states: dict[str, ServerState] = {}
         self._by_service: dict[str, dict[str, ServerState]] = {}
         self._times: dict[str, ServiceTimes] = {}
@@ -71,8 +71,8 @@
         state = self._states.get(server.id)
         if state is None:
             times = self._times.setdefault(server.service, ServiceTimes())
-            words = self.words.open(server.id, server.name, server.started_ms)
-            state = ServerState(server, times, self.turns, words)
+            notices = self.notices.open(server.id, server.name, server.started_ms)
+            state = ServerState(server, times, self.turns, notices)
             self._states[server.id] = state
         elif state.server.service != server.service:
             self._by_service[state.server.service].pop(server.id, None)
@@ -118,7 +118,7 @@
         return gone
 
     def _remove(self, state: ServerState) -> None:
-        self.words.close(state.id)
+        self.notices.close(state.id)
         del self._states[state.id]
         del self._newest[state.server.name]
         self._by_service[state.server.service].pop(state.id, None)
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -26,7 +26,7 @@
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.failuregossip import FailureGossip
 from ramppin.gateway.process.routing.homes import HomeAnnouncement, PrefixHomes
-from ramppin.gateway.process.routing.noticegossip import WordNews
+from ramppin.gateway.process.routing.noticegossip import NoticeGossip
 
 SHORTEST_PERIOD_S = 0.08
 """Seconds between two messages to all VMs."""
@@ -62,7 +62,7 @@
         loads: what VMs tell each other of servers' loads.
         is_log_up: returns whether the shared log serves this VM.
         suspects: what VMs tell each other of requests under which servers end.
-        words: what VMs tell each other of servers that leave.
+        notices: what VMs tell each other of servers that leave.
 
     .. versionadded:: 0.2
     """
@@ -78,7 +78,7 @@
         loads: LoadGossip,
         is_log_up: Callable[[float], bool] = lambda now: True,
         suspects: QuarantineNews | None = None,
-        words: WordNews | None = None,
+        notices: NoticeGossip | None = None,
     ) -> None:
         self._vm = vm
         self._link = link
@@ -89,11 +89,11 @@
         self._loads = loads
         self._is_log_up = is_log_up
         self._suspects = suspects or QuarantineNews(Quarantine())
-        self._words = words or WordNews(ServerDirectory())
+        self._notices = notices or NoticeGossip(ServerDirectory())
         self._told_log_up = True
         self._woken = asyncio.Event()
         self._suspects.watch(self._woken.set)
-        self._words.watch(self._woken.set)
+        self._notices.watch(self._woken.set)
         self._datagrams_left = float(BURST_DATAGRAMS)
         self._looked_at = float("-inf")
         self._due_at = float("-inf")
@@ -136,8 +136,8 @@
             self._homes.apply_announcement(announcement, now)
         self._homes.hot.take(hints.hot, now)
         self._loads.take(hints, now)
-        self._words.take(hints.leaving, now)
-        self._words.take_rests(hints.vm, hints.backoffs, now)
+        self._notices.take(hints.leaving, now)
+        self._notices.take_rests(hints.vm, hints.backoffs, now)
         self._answer_suspects(hints, host, now)
         if hints.failures:
             domain = self._members.find_failure_domain(hints.vm)
@@ -163,7 +163,7 @@
         is_urgent = (
             self._homes.has_pending_placement
             or self._suspects.is_urgent
-            or self._words.is_urgent
+            or self._notices.is_urgent
         )
         return is_urgent and self._may_tell_all()
 
@@ -202,11 +202,11 @@
         suspects = self._suspects.collect(now)
         has_news = (
             bool(announcements or failures or loads.waits or hot or suspects)
-            or self._words.has_news
+            or self._notices.has_news
             or log_up != self._told_log_up
         )
-        leaving = self._words.collect(now)
-        rests = self._words.collect_rests(now)
+        leaving = self._notices.collect(now)
+        rests = self._notices.collect_rests(now)
         self._told_log_up = log_up
         for near, told in ((True, loads.near), (False, loads.far)):
             due_s = self._members.choose_heartbeat_s(near=near)
@@ -223,7 +223,7 @@
                 hot,
                 suspects,
                 self._suspects.digest,
-                leaving or self._words.collect_again(now, near=near),
+                leaving or self._notices.collect_again(now, near=near),
                 rests,
             )
             self._send_to(hints, near, now)
--- a/src/ramppin/gateway/process/routing/noticegossip.py
+++ b/src/ramppin/gateway/process/routing/noticegossip.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Sequence
 
 from ramppin.gateway.connection.datagrams import BackoffHint, LeavingHint
-from ramppin.gateway.process.membership.servernotices import WordSource
+from ramppin.gateway.process.membership.servernotices import NoticeSource
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.noticeregistry import MS_PER_S
 
@@ -30,7 +30,7 @@
 heartbeat if nothing else is."""
 
 
-class WordNews:
+class NoticeGossip:
     """Collects the words to tell, and takes those that others tell.
 
     Args:
@@ -46,12 +46,12 @@
 
     def watch(self, note_news: Callable[[], None]) -> None:
         """Have a function called when there is something to tell."""
-        self._directory.words.note_news = note_news
+        self._directory.notices.note_news = note_news
 
     @property
     def is_urgent(self) -> bool:
         """Whether an answer told something that was not told yet."""
-        return self._directory.words.has_untold
+        return self._directory.notices.has_untold
 
     @property
     def has_news(self) -> bool:
@@ -64,7 +64,7 @@
         Args:
             now: the loop's time.
         """
-        for server_id in self._directory.words.take_untold():
+        for server_id in self._directory.notices.take_untold():
             self._tellings[server_id] = TELLINGS
         chosen = list(self._tellings)[:SERVERS_PER_MESSAGE]
         for server_id in chosen:
@@ -94,9 +94,9 @@
             now: the loop's time.
         """
         hints = []
-        for server_id in self._directory.words.take_untold_rests():
+        for server_id in self._directory.notices.take_untold_rests():
             state = self._directory.find(server_id)
-            until = state.words.find_rest_end(now) if state is not None else None
+            until = state.notices.find_rest_end(now) if state is not None else None
             if state is None or until is None or state.shedding.is_likely(now):
                 continue
             hints.append(BackoffHint(server_id, round((until - now) * MS_PER_S)))
@@ -125,23 +125,23 @@
         for hint in hints:
             if hint.age_ms >= 0:
                 age_s = hint.age_ms / MS_PER_S
-                words = self._directory.words
-                words.note_leaving(hint.server, WordSource.PEER, now, age_s)
+                notices = self._directory.notices
+                notices.note_leaving(hint.server, NoticeSource.PEER, now, age_s)
 
     def _list_standing(self) -> list[str]:
         """Return the servers whose words alone say that they leave, the newest ones."""
         found = [
-            (state.words.leaving.heard_at, state.id)
+            (state.notices.leaving.heard_at, state.id)
             for state in self._directory
-            if state.words.leaving is not None and not state.server.draining
+            if state.notices.leaving is not None and not state.server.draining
         ]
         found.sort(reverse=True)
         return [server_id for _, server_id in found[:SERVERS_PER_MESSAGE]]
 
     def _describe(self, server_ids: Sequence[str], now: float) -> list[LeavingHint]:
-        found = ((s, self._directory.words.find_leaving(s)) for s in server_ids)
+        found = ((s, self._directory.notices.find_leaving(s)) for s in server_ids)
         return [
-            LeavingHint(server_id, round((now - word.heard_at) * MS_PER_S))
-            for server_id, word in found
-            if word is not None
+            LeavingHint(server_id, round((now - notice.heard_at) * MS_PER_S))
+            for server_id, notice in found
+            if notice is not None
         ]
--- a/src/ramppin/gateway/process/routing/noticeregistry.py
+++ b/src/ramppin/gateway/process/routing/noticeregistry.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 
 from ramppin.gateway.process.membership.servernotices import (
-    LeavingWord,
-    ServerWords,
-    WordSource,
+    LeavingNotice,
+    NoticeSource,
+    ServerNotices,
 )
 from ramppin.gateway.process.routing.closure import ClosureReason
 
@@ -28,21 +28,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WordChange:
+class NoticeChange:
     """A start of a server that said something new.
 
     Attributes:
         server_id: the start's id.
-        words: what it has said so far.
+        notices: what it has said so far.
         reason: what the word closes it for.
     """
 
     server_id: str
-    words: ServerWords
+    notices: ServerNotices
     reason: ClosureReason
 
 
-class WordBook:
+class NoticeRegistry:
     """Words of all starts of servers.
 
     Args:
@@ -56,9 +56,9 @@
 
     def __init__(self, read_time: Callable[[], float] = time.time) -> None:
         self._read_time = read_time
-        self._listed: dict[str, ServerWords] = {}
-        self._kept: OrderedDict[str, ServerWords] = OrderedDict()
-        self._changes: list[WordChange] = []
+        self._listed: dict[str, ServerNotices] = {}
+        self._kept: OrderedDict[str, ServerNotices] = OrderedDict()
+        self._changes: list[NoticeChange] = []
         self._untold: list[str] = []
         self._untold_rests: list[str] = []
         self.note_news: Callable[[], None] = lambda: None
@@ -70,7 +70,7 @@
 
     # servers come and go
 
-    def open(self, server_id: str, name: str, started_ms: int | None) -> ServerWords:
+    def open(self, server_id: str, name: str, started_ms: int | None) -> ServerNotices:
         """Return what a start has said whose entry has come, or come back.
 
         Args:
@@ -78,20 +78,20 @@
             name: of the server, whichever its start.
             started_ms: Unix time of the start in milliseconds; None if it is not told.
         """
-        words = self._kept.pop(server_id, None)
-        if words is None and started_ms is not None:
+        notices = self._kept.pop(server_id, None)
+        if notices is None and started_ms is not None:
             # Known by an entry that did not tell its start, such as another writer's.
             untold = self._kept.get(name)
             if untold is not None and untold.may_be_of(started_ms):
-                words = untold
-        self._listed[server_id] = words or ServerWords()
+                notices = untold
+        self._listed[server_id] = notices or ServerNotices()
         return self._listed[server_id]
 
     def close(self, server_id: str) -> None:
         """Keep what a start has said, whose entry is gone."""
-        words = self._listed.pop(server_id, None)
-        if words is not None and words.is_worth_keeping:
-            self._keep(server_id, words)
+        notices = self._listed.pop(server_id, None)
+        if notices is not None and notices.is_worth_keeping:
+            self._keep(server_id, notices)
 
     def __len__(self) -> int:
         """Return for how many starts something is known or kept."""
@@ -100,7 +100,7 @@
     # what they say
 
     def note_leaving(
-        self, server_id: str, source: WordSource, now: float, age_s: float = 0.0
+        self, server_id: str, source: NoticeSource, now: float, age_s: float = 0.0
     ) -> None:
         """Take a server's word that it leaves, whether its entry is known or not.
 
@@ -110,11 +110,11 @@
             now: the loop's time.
             age_s: seconds since it was said.
         """
-        words = self._hear(server_id, age_s)
-        if not words.note_leaving(LeavingWord(source, now - age_s)):
+        notices = self._hear(server_id, age_s)
+        if not notices.note_leaving(LeavingNotice(source, now - age_s)):
             return
-        self._changes.append(WordChange(server_id, words, ClosureReason.LEAVING))
-        if source is WordSource.ANSWER:
+        self._changes.append(NoticeChange(server_id, notices, ClosureReason.LEAVING))
+        if source is NoticeSource.ANSWER:
             self._untold.append(server_id)
             self.note_news()
 
@@ -126,13 +126,15 @@
             rest_s: for how many seconds.
             now: the loop's time.
         """
-        words = self._hear(server_id)
-        if words.note_rest(rest_s, now):
-            self._changes.append(WordChange(server_id, words, ClosureReason.RESTING))
+        notices = self._hear(server_id)
+        if notices.note_rest(rest_s, now):
+            self._changes.append(
+                NoticeChange(server_id, notices, ClosureReason.RESTING)
+            )
             self._untold_rests.append(server_id)
             self.note_news()
 
-    def take_changes(self) -> list[WordChange]:
+    def take_changes(self) -> list[NoticeChange]:
         """Return what servers said since the last call, where that is news."""
         changes, self._changes = self._changes, []
         return changes
@@ -147,23 +149,23 @@
         untold, self._untold_rests = self._untold_rests, []
         return untold
 
-    def find_leaving(self, server_id: str) -> LeavingWord | None:
+    def find_leaving(self, server_id: str) -> LeavingNotice | None:
         """Return the word of a start that it leaves, or None."""
-        words = self._listed.get(server_id) or self._kept.get(server_id)
-        return words.leaving if words is not None else None
+        notices = self._listed.get(server_id) or self._kept.get(server_id)
+        return notices.leaving if notices is not None else None
 
-    def _hear(self, server_id: str, age_s: float = 0.0) -> ServerWords:
+    def _hear(self, server_id: str, age_s: float = 0.0) -> ServerNotices:
         """Return what a start has said, to which something is added now."""
-        words = self._listed.get(server_id) or self._kept.get(server_id)
-        if words is None:
-            words = ServerWords()
-            self._keep(server_id, words)
+        notices = self._listed.get(server_id) or self._kept.get(server_id)
+        if notices is None:
+            notices = ServerNotices()
+            self._keep(server_id, notices)
         said_ms = int((self._read_time() - age_s) * MS_PER_S)
-        words.heard_ms = max(words.heard_ms, said_ms)
-        return words
+        notices.heard_ms = max(notices.heard_ms, said_ms)
+        return notices
 
-    def _keep(self, server_id: str, words: ServerWords) -> None:
-        self._kept[server_id] = words
+    def _keep(self, server_id: str, notices: ServerNotices) -> None:
+        self._kept[server_id] = notices
         self._kept.move_to_end(server_id)
         if len(self._kept) > KEPT_STARTS:
             self._kept.popitem(last=False)
--- a/src/ramppin/gateway/process/routing/serverstate.py
+++ b/src/ramppin/gateway/process/routing/serverstate.py
@@ -14,7 +14,7 @@
 from ramppin.gateway.process.membership.coldness import ServerColdness
 from ramppin.gateway.process.membership.evidence import FleetEvidence
 from ramppin.gateway.process.membership.health import ServerHealth
-from ramppin.gateway.process.membership.servernotices import ServerWords
+from ramppin.gateway.process.membership.servernotices import ServerNotices
 from ramppin.gateway.process.membership.shedding import FleetShedding
 from ramppin.gateway.process.stalldetector import Turns
 
@@ -65,7 +65,7 @@
         server: as it announced itself.
         times: of its service's requests; None for some of its own.
         turns: of this process; None where it never stalls.
-        words: what this start has said before; None for nothing.
+        notices: what this start has said before; None for nothing.
 
     Attributes:
         id: the incarnation's.
@@ -78,7 +78,7 @@
         evidence: what all VMs saw of it.
         shedding: which other VMs it turns away.
         coldness: whether it is cold.
-        words: what it said of itself in its answers.
+        notices: what it said of itself in its answers.
         missing: whether its entry has vanished.
         unreadable: whether its newest entry can't be read.
         restarted: whether it has ended, since a later start is known.
@@ -93,7 +93,7 @@
         server: BackendServer,
         times: ServiceTimes | None = None,
         turns: Turns | None = None,
-        words: ServerWords | None = None,
+        notices: ServerNotices | None = None,
     ) -> None:
         turns = turns or Turns()
         self.id = server.id
@@ -106,7 +106,7 @@
         self.evidence = FleetEvidence()
         self.shedding = FleetShedding()
         self.coldness = ServerColdness()
-        self.words = words or ServerWords()
+        self.notices = notices or ServerNotices()
         self.missing = False
         self.unreadable = False
         self.restarted = False
@@ -118,7 +118,7 @@
 
         An entry that says otherwise may be older than the answer.
         """
-        return self.server.draining or self.words.leaving is not None
+        return self.server.draining or self.notices.leaving is not None
 
     def note_load(self, running: int, waiting: int, now: float) -> None:
         """Take the load that an answer reported, in requests."""
--- a/src/ramppin/gateway/request/attempt.py
+++ b/src/ramppin/gateway/request/attempt.py
@@ -31,7 +31,7 @@
 from ramppin.gateway.request.answerkind import AnswerKind, judge_answer
 from ramppin.gateway.request.events import EventSplitter
 from ramppin.gateway.request.result import AttemptEnd, AttemptResult
-from ramppin.gateway.request.servernotice import NO_WORD, ServerWord, read_word
+from ramppin.gateway.request.servernotice import NO_NOTICE, ServerNotice, parse_notice
 
 MAX_BUFFERED_BYTES = 262_144
 """Bytes of a whole answer that are kept before it is passed on in pieces: until then a
@@ -58,7 +58,7 @@
         streams: whether pieces are passed on as they come.
         resumable: whether only whole events are passed on.
         may_take_over: returns whether another server could take the request over.
-        note_word: takes what the server says of itself, as soon as its head is there.
+        note_notice: takes what the server says of itself, as soon as its head is there.
 
     Attributes:
         started: whether the caller has got a part of an answer, of this attempt or
@@ -78,7 +78,7 @@
         streams: bool,
         resumable: bool,
         may_take_over: Callable[[], bool],
-        note_word: Callable[[ServerWord], None],
+        note_notice: Callable[[ServerNotice], None],
     ) -> None:
         self._names = names
         self._caller = caller
@@ -86,13 +86,13 @@
         self._state = state
         self._streams = streams
         self._may_take_over = may_take_over
-        self._take_word = note_word
+        self._apply_notice = note_notice
         self._loop = asyncio.get_running_loop()
         self._result: asyncio.Future[AttemptResult] = self._loop.create_future()
         self._connection: UpstreamConnection | None = None
         self._head: AnswerHead | None = None
         self._kind: AnswerKind | None = None
-        self._word: ServerWord = NO_WORD
+        self._notice: ServerNotice = NO_NOTICE
         self._buffered: list[bytes] = []
         self._buffered_size = 0
         self._forwarding = False
@@ -174,7 +174,7 @@
     def accept_head(self, head: AnswerHead) -> bool:
         """Take the head if it answers this request."""
         self._note_bytes(due=True)
-        self._note_word(head)
+        self._note_notice(head)
         found = find_header(head.headers, self._names.request_id)
         if found is None and head.status < 300:
             return False
@@ -288,7 +288,7 @@
                 last_event_id=events.last_id if events else None,
                 message=message,
                 first_byte_at=self._first_byte_at,
-                word=self._word,
+                notice=self._notice,
             )
         )
 
@@ -329,17 +329,17 @@
         self._note_received(due=due)
         self._state.waiting.note_bytes(self, self._received_at)
 
-    def _note_word(self, head: AnswerHead) -> None:
+    def _note_notice(self, head: AnswerHead) -> None:
         """Take what the server says of itself, in answers to other requests as well.
 
         A late answer to another request comes from the same server.
         """
-        self._word = read_word(head, self._names)
-        self._take_word(self._word)
-        if self._word.unreadable:
+        self._notice = parse_notice(head, self._names)
+        self._apply_notice(self._notice)
+        if self._notice.unreadable:
             LOG.warning(
                 "a time of rest is neither seconds nor a date and is ignored: %.40r",
-                self._word.unreadable,
+                self._notice.unreadable,
                 extra={"peer": self._state.server.name, "step": "answer"},
             )
 
--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -16,7 +16,7 @@
 from ramppin.gateway.connection.requestreader import CallerRequest
 from ramppin.gateway.connection.upstream import UpstreamConnection
 from ramppin.gateway.process.context import GatewayContext
-from ramppin.gateway.process.membership.servernotices import WordSource
+from ramppin.gateway.process.membership.servernotices import NoticeSource
 from ramppin.gateway.process.routing.selection import Selection
 from ramppin.gateway.process.routing.serverstate import ServerState
 from ramppin.gateway.request.admission import (
@@ -46,7 +46,7 @@
     judge_try,
 )
 from ramppin.gateway.request.serverchoice import ServerChoice
-from ramppin.gateway.request.servernotice import ServerWord
+from ramppin.gateway.request.servernotice import ServerNotice
 from ramppin.gateway.request.upstreamhead import RequestHeadBuilder
 
 _REPLACED = frozenset({b"content-length", b"retry-after"})
@@ -180,7 +180,7 @@
             last = await self._try(admission, selection, builder, choice)
             now = self._loop.time()
             watch.note_attempt(selection.state, last, started, now)
-            if last.word.rest_s > 0:
+            if last.notice.rest_s > 0:
                 self._progress.turned_away += 1
             if last.end is AttemptEnd.DELIVERED or self._disconnected:
                 self._report.note_attempt(admission, selection, last, now)
@@ -265,7 +265,7 @@
             streams=route.kind.is_stream,
             resumable=route.resumable,
             may_take_over=lambda: self._judge_takeover(admission, choice).allows,
-            note_word=lambda word: self._note_word(state, word),
+            note_notice=lambda notice: self._note_notice(state, notice),
         )
         self._attempt = attempt
         source = self._context.directory.find_copy_source(selection.copy_from, now)
@@ -278,13 +278,13 @@
         self._progress.answer_started = attempt.started
         return result
 
-    def _note_word(self, state: ServerState, word: ServerWord) -> None:
+    def _note_notice(self, state: ServerState, notice: ServerNotice) -> None:
         """Take what a server says of itself in an answer."""
-        words, now = self._context.directory.words, self._loop.time()
-        if word.leaving:
-            words.note_leaving(state.id, WordSource.ANSWER, now)
-        if word.rest_s > 0:
-            words.note_rest(state.id, word.rest_s, now)
+        notices, now = self._context.directory.notices, self._loop.time()
+        if notice.leaving:
+            notices.note_leaving(state.id, NoticeSource.ANSWER, now)
+        if notice.rest_s > 0:
+            notices.note_rest(state.id, notice.rest_s, now)
 
     # sending again
 
--- a/src/ramppin/gateway/request/result.py
+++ b/src/ramppin/gateway/request/result.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 from ramppin.gateway.connection.upstream import AnswerHead
-from ramppin.gateway.request.servernotice import NO_WORD, ServerWord
+from ramppin.gateway.request.servernotice import NO_NOTICE, ServerNotice
 
 
 class AttemptEnd(Enum):
@@ -44,7 +44,7 @@
         first_byte_at: the loop's time at which the caller got the first byte.
         lost: whether the connection ended before the answer did, or the server is
             known to have ended.
-        word: what the server said of itself.
+        notice: what the server said of itself.
     """
 
     end: AttemptEnd
@@ -54,4 +54,4 @@
     message: str = ""
     first_byte_at: float | None = None
     lost: bool = False
-    word: ServerWord = NO_WORD
+    notice: ServerNotice = NO_NOTICE
--- a/src/ramppin/gateway/request/servernotice.py
+++ b/src/ramppin/gateway/request/servernotice.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerWord:
+class ServerNotice:
     """What one answer says of its server.
 
     Attributes:
@@ -46,12 +46,12 @@
     unreadable: bytes = b""
 
 
-NO_WORD = ServerWord()
+NO_NOTICE = ServerNotice()
 
 
-def read_word(
+def parse_notice(
     head: AnswerHead, names: HeaderNames, wall_clock: Callable[[], float] = time.time
-) -> ServerWord:
+) -> ServerNotice:
     """Return what the head of an answer says of the server that was addressed.
 
     Args:
@@ -61,17 +61,17 @@
     """
     if head.status == MISDIRECTED:
         # Another server has the address now: it speaks of itself.
-        return NO_WORD
+        return NO_NOTICE
     leaving = find_header(head.headers, names.leaving) == b"1"
     if head.status not in REST_STATUSES:
-        return ServerWord(leaving) if leaving else NO_WORD
+        return ServerNotice(leaving) if leaving else NO_NOTICE
     told = [v.strip() for n, v in head.headers if n.lower() == b"retry-after"]
     rests = [_read_rest_s(value, head.headers, wall_clock) for value in told]
     readable = [rest_s for rest_s in rests if rest_s is not None]
     unreadable = [v for v, rest_s in zip(told, rests, strict=True) if rest_s is None]
     # Of several the longest: what a shorter one allows, the longer one forbids.
     rest_s = min(LONGEST_REST_S, max(readable, default=0.0))
-    return ServerWord(leaving, rest_s, unreadable[0] if unreadable else b"")
+    return ServerNotice(leaving, rest_s, unreadable[0] if unreadable else b"")
 
 
 def _read_rest_s(
