--- a/bench/vms/shedding.py
+++ b/bench/vms/shedding.py
@@ -29,7 +29,7 @@
 BEGIN_S, END_S, LENGTH_S = 4.0, 13.0, 15.0
 """When servers begin and cease to turn requests away, and when the run ends."""
 
-REST_S = 3.0
+BACKOFF_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
         state = selection.state
         if self._turns_away(vm, state.id):
             self.rejections += 1
-            self.after(2 * LATENCY_S, self._take_rest, vm, state.id)
+            self.after(2 * LATENCY_S, self._apply_backoff, vm, state.id)
             self.after(2 * LATENCY_S, self._place, vm, key, tried | {state.id})
             return
         home = vm.homes.find(key)
@@ -130,8 +130,8 @@
     def _end(self, state: ServerState) -> None:
         state.in_flight -= 1
 
-    def _take_rest(self, vm: ModelVm, server_id: str) -> None:
-        vm.directory.notices.note_rest(server_id, REST_S, self.now)
+    def _apply_backoff(self, vm: ModelVm, server_id: str) -> None:
+        vm.directory.notices.note_backoff(server_id, BACKOFF_S, self.now)
         # The product's loop wakes for news; here the VM's turn comes at once.
         vm.hints.send_due(self.now)
 
--- a/features/gateway_lines.py
+++ b/features/gateway_lines.py
@@ -107,7 +107,7 @@
         )
         notices.note_leaving("p2", NoticeSource.ANSWER, now)
         await self._wait_for_event("server_closed")
-        notices.note_rest("p2", 0.1, now)
+        notices.note_backoff("p2", 0.1, now)
         await self._wait_for_event("server_opened")
 
     async def _quarantine_request(self) -> None:
--- a/features/steps/server_word_exchange_steps.py
+++ b/features/steps/server_word_exchange_steps.py
@@ -109,7 +109,8 @@
         directory = context.fixture.gateway.context.directory
         notices = directory.find_newest(name).notices
         await wait_for(
-            lambda: notices.find_rest_end(context.loop.time()) is None, "it has rested"
+            lambda: notices.find_backoff_end(context.loop.time()) is None,
+            "back-off over",
         )
         assert context.loop.time() >= context.rested_at + rest
 
@@ -258,7 +259,7 @@
     directory, now = context.fixture.gateway.context.directory, context.loop.time()
     for name in read_names(names):
         for vm in ("vm-2", "vm-3"):
-            directory.find(name).shedding.note_told(vm, now + rest)
+            directory.find(name).shedding.note_peer_backoff(vm, now + rest)
 
 
 @when('a request to "{path}" is sent while "{names}" turn all away')
--- a/features/steps/server_word_fleet_steps.py
+++ b/features/steps/server_word_fleet_steps.py
@@ -184,16 +184,16 @@
 def step_asked(context, vms, server, rest):
     for name in read_names(vms):
         vm = context.vms[name]
-        vm.directory.notices.note_rest(server, rest, context.now)
-        hints = vm.news.collect_rests(context.now)
+        vm.directory.notices.note_backoff(server, rest, context.now)
+        hints = vm.news.collect_backoffs(context.now)
         for other in context.vms.values():
             if other is not vm:
-                other.news.take_rests(name, hints, context.now)
+                other.news.apply_backoffs(name, hints, context.now)
 
 
 @when('"{vm}" is asked by "{server}" for {rest:g} s of rest')
 def step_is_asked(context, vm, server, rest):
-    context.vms[vm].directory.notices.note_rest(server, rest, context.now)
+    context.vms[vm].directory.notices.note_backoff(server, rest, context.now)
 
 
 @then('after {seconds:g} s "{vm}" prefers "{servers}"')
@@ -207,10 +207,10 @@
 def step_tells_rests(context, vm, servers):
     news = context.vms[vm].news
     assert news.is_urgent
-    found = [hint.server for hint in news.collect_rests(context.now)]
+    found = [hint.server for hint in news.collect_backoffs(context.now)]
     assert found == servers.split(), found
     assert not news.is_urgent
-    assert not news.collect_rests(context.now)
+    assert not news.collect_backoffs(context.now)
 
 
 # many VMs on one clock
--- a/features/steps/server_word_steps.py
+++ b/features/steps/server_word_steps.py
@@ -36,20 +36,20 @@
 @then('an answer {status:d} with "Retry-After: {value}" asks for a rest of {rest:g} s')
 def step_rest(context, status, value, rest):
     notice = read(status, *encode_rests([value]))
-    assert notice.rest_s == rest, notice
+    assert notice.backoff_s == rest, notice
     assert not notice.unreadable, notice
 
 
 @then('an answer 503 with "Retry-After: {value}" asks for no rest that can be read')
 def step_unreadable(context, value):
     notice = read(503, *encode_rests([value]))
-    assert notice.rest_s == 0, notice
+    assert notice.backoff_s == 0, notice
     assert notice.unreadable == value.encode(), notice
 
 
 @then('an answer 503 with the times of rest "{values}" asks for a rest of {rest:g} s')
 def step_several(context, values, rest):
-    assert read(503, *encode_rests(values.split())).rest_s == rest
+    assert read(503, *encode_rests(values.split())).backoff_s == rest
 
 
 @then("a rest until 10 s after the answer's date lasts 10 s by a clock an hour off")
@@ -60,7 +60,7 @@
         (b"Retry-After", b"Sun, 06 Nov 1994 08:49:37 GMT"),
         wall_time=WALL_TIME + 3600,
     )
-    assert notice.rest_s == 10, notice
+    assert notice.backoff_s == 10, notice
 
 
 @then(
@@ -126,7 +126,7 @@
         if word.startswith("@"):
             now += float(word[1:])
         else:
-            directory.notices.note_rest(state.id, float(word), now)
+            directory.notices.note_backoff(state.id, float(word), now)
     closed = gate.survey("plain", now).closed
     assert bool(closed) == (left > 0), closed
     if left:
--- a/features/steps/server_word_waiting_steps.py
+++ b/features/steps/server_word_waiting_steps.py
@@ -61,7 +61,7 @@
         if word == "says that it leaves":
             directory.notices.note_leaving(name, NoticeSource.ANSWER, now)
         elif word == "asks for rest":
-            directory.notices.note_rest(name, 5.0, now)
+            directory.notices.note_backoff(name, 5.0, now)
         elif word == "says in its entry that it leaves":
             await write_entry(context, name, draining=True)
         elif word == "vanishes":
--- a/src/ramppin/gateway/process/membership/servernotices.py
+++ b/src/ramppin/gateway/process/membership/servernotices.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class RestWord:
+class BackoffNotice:
     """A server's word that it wants nothing from this VM for a while.
 
     Attributes:
@@ -53,7 +53,7 @@
 
     Attributes:
         leaving: its word that it leaves, which is never taken back; None before.
-        rest: the newest rest that it asked for; None before the first.
+        backoff: the newest rest that it asked for; None before the first.
         heard_ms: Unix time in milliseconds of its newest word, to be compared with
             starts.
 
@@ -62,19 +62,19 @@
 
     def __init__(self) -> None:
         self.leaving: LeavingNotice | None = None
-        self.rest: RestWord | None = None
+        self.backoff: BackoffNotice | None = None
         self.heard_ms = 0
 
     @property
     def is_worth_keeping(self) -> bool:
         """Whether anything of it may still hold."""
-        return self.leaving is not None or self.rest is not None
+        return self.leaving is not None or self.backoff is not None
 
-    def find_rest_end(self, now: float) -> float | None:
+    def find_backoff_end(self, now: float) -> float | None:
         """Return the loop's time at which a rest ends that runs now, or None."""
-        if self.rest is None or now >= self.rest.until:
+        if self.backoff is None or now >= self.backoff.until:
             return None
-        return self.rest.until
+        return self.backoff.until
 
     def note_leaving(self, notice: LeavingNotice) -> bool:
         """Take the word that it leaves; return whether that is news."""
@@ -83,22 +83,22 @@
         self.leaving = notice
         return True
 
-    def note_rest(self, rest_s: float, now: float) -> bool:
+    def note_backoff(self, backoff_s: float, now: float) -> bool:
         """Take the word that it wants rest; return whether none ran before.
 
         A shorter rest does not end a longer one: each was asked for by an answer of
         its own.
 
         Args:
-            rest_s: seconds for which it wants nothing.
+            backoff_s: seconds for which it wants nothing.
             now: the loop's time.
         """
-        until = now + rest_s
-        if self.rest is None or now >= self.rest.until:
-            self.rest = RestWord(now, until)
+        until = now + backoff_s
+        if self.backoff is None or now >= self.backoff.until:
+            self.backoff = BackoffNotice(now, until)
             return True
-        self.rest.until = max(self.rest.until, until)
-        self.rest.asked += 1
+        self.backoff.until = max(self.backoff.until, until)
+        self.backoff.asked += 1
         return False
 
     def may_be_of(self, started_ms: int) -> bool:
--- a/src/ramppin/gateway/process/membership/shedding.py
+++ b/src/ramppin/gateway/process/membership/shedding.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self._until: dict[str, float] = {}
 
-    def note_told(self, vm: str, until: float) -> None:
+    def note_peer_backoff(self, vm: str, until: float) -> None:
         """Take a VM's word that it was asked for rest.
 
         Args:
@@ -37,6 +37,6 @@
         self._until = {vm: until for vm, until in self._until.items() if until > now}
         return len(self._until) >= VMS_THAT_COUNT
 
-    def measure_rest_s(self, now: float) -> float:
+    def measure_backoff_s(self, now: float) -> float:
         """Return for how many seconds it is likely to turn this VM away."""
         return max(self._until.values()) - now if self.is_likely(now) else 0.0
--- a/src/ramppin/gateway/process/operations.py
+++ b/src/ramppin/gateway/process/operations.py
@@ -108,7 +108,7 @@
             "failure_rate": round(state.health.failure_rate, 2),
             # The key's name is older than the code's word for it.
             "aside": state.health.is_suspect(now),
-            "shedding_s": _shorten(state.shedding.measure_rest_s(now)),
+            "shedding_s": _shorten(state.shedding.measure_backoff_s(now)),
             "cold_s": _shorten(state.coldness.measure_left_s(now)),
         }
 
--- a/src/ramppin/gateway/process/reporting/noticelines.py
+++ b/src/ramppin/gateway/process/reporting/noticelines.py
@@ -5,11 +5,11 @@
 import logging
 
 from ramppin.gateway.process.context import GatewayContext
-from ramppin.gateway.process.membership.servernotices import RestWord
+from ramppin.gateway.process.membership.servernotices import BackoffNotice
 from ramppin.gateway.process.routing.closure import ClosureReason
 from ramppin.gateway.process.routing.noticeregistry import NoticeChange
 
-LONG_REST_S = 60.0
+LONG_BACKOFF_S = 60.0
 """Seconds of rest above which someone should look: the server is lost for as long."""
 
 LOG = logging.getLogger(__name__)
@@ -26,7 +26,7 @@
 
     def __init__(self, context: GatewayContext) -> None:
         self._context = context
-        self._resting: dict[str, RestWord] = {}
+        self._backoffs: dict[str, BackoffNotice] = {}
 
     def note(self, now: float) -> None:
         """Write what servers said since the last call, and which rests are over.
@@ -36,21 +36,21 @@
         """
         for change in self._context.directory.notices.take_changes():
             self._note_closed(change, now)
-        over = [name for name, rest in self._resting.items() if now >= rest.until]
+        over = [key for key, backoff in self._backoffs.items() if now >= backoff.until]
         for server_id in over:
-            self._note_opened(server_id, self._resting.pop(server_id))
+            self._note_opened(server_id, self._backoffs.pop(server_id))
 
     def _note_closed(self, change: NoticeChange, now: float) -> None:
         notices, server_id = change.notices, change.server_id
-        leaving, rest = notices.leaving, notices.rest
-        source, heard_at, rest_s = "answer", now, 0.0
+        leaving, backoff = notices.leaving, notices.backoff
+        source, heard_at, backoff_s = "answer", now, 0.0
         if change.reason is ClosureReason.LEAVING and leaving is not None:
             source, heard_at = leaving.source.value, leaving.heard_at
-        elif rest is not None:
-            heard_at, rest_s = rest.since, rest.until - rest.since
-            if server_id in self._resting:
-                self._note_opened(server_id, self._resting[server_id])
-            self._resting[server_id] = rest
+        elif backoff is not None:
+            heard_at, backoff_s = backoff.since, backoff.until - backoff.since
+            if server_id in self._backoffs:
+                self._note_opened(server_id, self._backoffs[server_id])
+            self._backoffs[server_id] = backoff
         self._context.metrics.server_words.inc(change.reason.value, source)
         self._context.decisions.note(
             "server_closed",
@@ -59,24 +59,24 @@
             word=change.reason.value,
             source=source,
             age_s=round(now - heard_at, 2),
-            rest_s=round(rest_s, 2),
+            rest_s=round(backoff_s, 2),
             version=self._context.version,
         )
-        if rest_s > LONG_REST_S:
+        if backoff_s > LONG_BACKOFF_S:
             LOG.warning(
                 "a server wants nothing for %.0f s",
-                rest_s,
+                backoff_s,
                 extra={"peer": self._find_name(server_id), "step": "answer"},
             )
 
-    def _note_opened(self, server_id: str, rest: RestWord) -> None:
+    def _note_opened(self, server_id: str, backoff: BackoffNotice) -> None:
         self._context.decisions.note(
             "server_opened",
             server=self._find_name(server_id),
             service=self._find_service(server_id),
             word=ClosureReason.RESTING.value,
-            closed_s=round(rest.until - rest.since, 2),
-            rejections=rest.asked,
+            closed_s=round(backoff.until - backoff.since, 2),
+            rejections=backoff.asked,
             version=self._context.version,
         )
 
--- a/src/ramppin/gateway/process/routing/gate.py
+++ b/src/ramppin/gateway/process/routing/gate.py
@@ -126,5 +126,5 @@
 
 def _find_backoff(state: ServerState, now: float) -> Closure | None:
     """Return the closure of a server that has asked this VM for rest."""
-    until = state.notices.find_rest_end(now)
+    until = state.notices.find_backoff_end(now)
     return None if until is None else Closure(ClosureReason.RESTING, until)
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -137,7 +137,7 @@
         self._homes.hot.take(hints.hot, now)
         self._loads.take(hints, now)
         self._notices.take(hints.leaving, now)
-        self._notices.take_rests(hints.vm, hints.backoffs, now)
+        self._notices.apply_backoffs(hints.vm, hints.backoffs, now)
         self._answer_suspects(hints, host, now)
         if hints.failures:
             domain = self._members.find_failure_domain(hints.vm)
@@ -206,7 +206,7 @@
             or log_up != self._told_log_up
         )
         leaving = self._notices.collect(now)
-        rests = self._notices.collect_rests(now)
+        backoffs = self._notices.collect_backoffs(now)
         self._told_log_up = log_up
         for near, told in ((True, loads.near), (False, loads.far)):
             due_s = self._members.choose_heartbeat_s(near=near)
@@ -224,7 +224,7 @@
                 suspects,
                 self._suspects.digest,
                 leaving or self._notices.collect_again(now, near=near),
-                rests,
+                backoffs,
             )
             self._send_to(hints, near, now)
 
--- a/src/ramppin/gateway/process/routing/noticegossip.py
+++ b/src/ramppin/gateway/process/routing/noticegossip.py
@@ -85,7 +85,7 @@
         self._told_all_at[near] = now
         return self._describe(self._list_standing(), now)
 
-    def collect_rests(self, now: float) -> list[BackoffHint]:
+    def collect_backoffs(self, now: float) -> list[BackoffHint]:
         """Return the rests to tell in the next message to all VMs.
 
         Not those of servers that are passed over anyway, by what others told.
@@ -94,15 +94,15 @@
             now: the loop's time.
         """
         hints = []
-        for server_id in self._directory.notices.take_untold_rests():
+        for server_id in self._directory.notices.pop_pending_backoffs():
             state = self._directory.find(server_id)
-            until = state.notices.find_rest_end(now) if state is not None else None
+            until = state.notices.find_backoff_end(now) if state is not None else None
             if state is None or until is None or state.shedding.is_likely(now):
                 continue
             hints.append(BackoffHint(server_id, round((until - now) * MS_PER_S)))
         return hints[:SERVERS_PER_MESSAGE]
 
-    def take_rests(self, vm: str, hints: Sequence[BackoffHint], now: float) -> None:
+    def apply_backoffs(self, vm: str, hints: Sequence[BackoffHint], now: float) -> None:
         """Take the rests that another VM was asked for.
 
         Args:
@@ -113,7 +113,7 @@
         for hint in hints:
             state = self._directory.find(hint.server)
             if state is not None:
-                state.shedding.note_told(vm, now + hint.remaining_ms / MS_PER_S)
+                state.shedding.note_peer_backoff(vm, now + hint.remaining_ms / MS_PER_S)
 
     def take(self, hints: Sequence[LeavingHint], now: float) -> None:
         """Take what another VM tells.
--- a/src/ramppin/gateway/process/routing/noticeregistry.py
+++ b/src/ramppin/gateway/process/routing/noticeregistry.py
@@ -60,13 +60,13 @@
         self._kept: OrderedDict[str, ServerNotices] = OrderedDict()
         self._changes: list[NoticeChange] = []
         self._untold: list[str] = []
-        self._untold_rests: list[str] = []
+        self._pending_backoffs: list[str] = []
         self.note_news: Callable[[], None] = lambda: None
 
     @property
     def has_untold(self) -> bool:
         """Whether an answer told something that other VMs were not told yet."""
-        return bool(self._untold or self._untold_rests)
+        return bool(self._untold or self._pending_backoffs)
 
     # servers come and go
 
@@ -118,20 +118,20 @@
             self._untold.append(server_id)
             self.note_news()
 
-    def note_rest(self, server_id: str, rest_s: float, now: float) -> None:
+    def note_backoff(self, server_id: str, backoff_s: float, now: float) -> None:
         """Take a server's word that it wants nothing from this VM for a while.
 
         Args:
             server_id: of the start that said so.
-            rest_s: for how many seconds.
+            backoff_s: for how many seconds.
             now: the loop's time.
         """
         notices = self._hear(server_id)
-        if notices.note_rest(rest_s, now):
+        if notices.note_backoff(backoff_s, now):
             self._changes.append(
                 NoticeChange(server_id, notices, ClosureReason.RESTING)
             )
-            self._untold_rests.append(server_id)
+            self._pending_backoffs.append(server_id)
             self.note_news()
 
     def take_changes(self) -> list[NoticeChange]:
@@ -144,9 +144,9 @@
         untold, self._untold = self._untold, []
         return untold
 
-    def take_untold_rests(self) -> list[str]:
+    def pop_pending_backoffs(self) -> list[str]:
         """Return the starts that asked for a rest since the last call."""
-        untold, self._untold_rests = self._untold_rests, []
+        untold, self._pending_backoffs = self._pending_backoffs, []
         return untold
 
     def find_leaving(self, server_id: str) -> LeavingNotice | None:
--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -180,7 +180,7 @@
             last = await self._try(admission, selection, builder, choice)
             now = self._loop.time()
             watch.note_attempt(selection.state, last, started, now)
-            if last.notice.rest_s > 0:
+            if last.notice.backoff_s > 0:
                 self._progress.turned_away += 1
             if last.end is AttemptEnd.DELIVERED or self._disconnected:
                 self._report.note_attempt(admission, selection, last, now)
@@ -283,8 +283,8 @@
         notices, now = self._context.directory.notices, self._loop.time()
         if notice.leaving:
             notices.note_leaving(state.id, NoticeSource.ANSWER, now)
-        if notice.rest_s > 0:
-            notices.note_rest(state.id, notice.rest_s, now)
+        if notice.backoff_s > 0:
+            notices.note_backoff(state.id, notice.backoff_s, now)
 
     # sending again
 
--- a/src/ramppin/gateway/request/finalanswer.py
+++ b/src/ramppin/gateway/request/finalanswer.py
@@ -16,7 +16,7 @@
 from ramppin.gateway.request.result import AttemptEnd, AttemptResult
 from ramppin.gateway.request.retry import Progress, Verdict
 from ramppin.gateway.request.retryafter import STOP_PAUSE_S, choose_start_pause_s
-from ramppin.gateway.request.servernotice import REST_STATUSES
+from ramppin.gateway.request.servernotice import BACKOFF_STATUSES
 
 NOT_RUN_STATUS = 503
 """Status of a request that no server ran."""
@@ -112,6 +112,6 @@
     has_answer = last.answer is not None and last.end is AttemptEnd.FAILED
     if has_answer and not progress.answer_started:
         # The server's own time was said to this VM; another may have a server open.
-        pause_s = retry_after_s if last.status in REST_STATUSES else None
+        pause_s = retry_after_s if last.status in BACKOFF_STATUSES else None
         return FinalAnswer(Ending.RELAY, last.status, reason, pause_s, last.answer)
     return answer_stopped(progress, last, reason, retry_after_s)
--- a/src/ramppin/gateway/request/report.py
+++ b/src/ramppin/gateway/request/report.py
@@ -95,7 +95,7 @@
             "end": result.end.value,
             "status": result.status,
             "leaving": result.notice.leaving,
-            "rest_s": round(result.notice.rest_s, 3),
+            "rest_s": round(result.notice.backoff_s, 3),
             "message": result.message,
             "took_ms": round((now - self._arrived) * 1000),
             "first_ms": self._measure_first_ms(result),
--- a/src/ramppin/gateway/request/servernotice.py
+++ b/src/ramppin/gateway/request/servernotice.py
@@ -19,11 +19,11 @@
 """HTTP status of a server that is not the one addressed (RFC 9110, section
 15.5.20)."""
 
-REST_STATUSES = frozenset({429, 503})
+BACKOFF_STATUSES = frozenset({429, 503})
 """HTTP statuses with which ``Retry-After`` asks for rest; with others it says when a
 resource has moved (RFC 9110, section 10.2.3)."""
 
-LONGEST_REST_S = 365 * 86_400.0
+MAX_BACKOFF_S = 365 * 86_400.0
 """Seconds of the longest rest: no process runs for longer."""
 
 _SECONDS = re.compile(rb"\d+(\.\d*)?|\.\d+")
@@ -35,14 +35,14 @@
 
     Attributes:
         leaving: whether the server leaves, and takes nothing new.
-        rest_s: seconds for which it wants nothing from this VM; 0 if it does not say.
+        backoff_s: seconds for which this VM must send nothing; 0 if it sets none.
         unreadable: a time of rest that can't be read, or empty.
 
     .. versionadded:: 0.3
     """
 
     leaving: bool = False
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
     unreadable: bytes = b""
 
 
@@ -63,18 +63,18 @@
         # Another server has the address now: it speaks of itself.
         return NO_NOTICE
     leaving = find_header(head.headers, names.leaving) == b"1"
-    if head.status not in REST_STATUSES:
+    if head.status not in BACKOFF_STATUSES:
         return ServerNotice(leaving) if leaving else NO_NOTICE
     told = [v.strip() for n, v in head.headers if n.lower() == b"retry-after"]
-    rests = [_read_rest_s(value, head.headers, wall_clock) for value in told]
-    readable = [rest_s for rest_s in rests if rest_s is not None]
-    unreadable = [v for v, rest_s in zip(told, rests, strict=True) if rest_s is None]
+    backoffs = [_parse_backoff_s(value, head.headers, wall_clock) for value in told]
+    readable = [backoff_s for backoff_s in backoffs if backoff_s is not None]
+    unreadable = [v for v, s in zip(told, backoffs, strict=True) if s is None]
     # Of several the longest: what a shorter one allows, the longer one forbids.
-    rest_s = min(LONGEST_REST_S, max(readable, default=0.0))
-    return ServerNotice(leaving, rest_s, unreadable[0] if unreadable else b"")
+    backoff_s = min(MAX_BACKOFF_S, max(readable, default=0.0))
+    return ServerNotice(leaving, backoff_s, unreadable[0] if unreadable else b"")
 
 
-def _read_rest_s(
+def _parse_backoff_s(
     value: bytes, headers: Headers, wall_clock: Callable[[], float]
 ) -> float | None:
     """Return seconds of rest, from a number or a date; None if it is neither."""
