--- a/src/ramppin/gateway/process/recovery/peeranswers.py
+++ b/src/ramppin/gateway/process/recovery/peeranswers.py
@@ -102,7 +102,7 @@
         def stop_waiting() -> None:
             timer.cancel()
             for replica in replicas:
-                replica.forget_callback(answer_soon)
+                replica.remove_callback(answer_soon)
 
         wait_s = min(question.wait_ms, MAX_WAIT_MS) / 1000
         timer = loop.call_later(wait_s, answer_in_vain)
--- a/src/ramppin/gateway/process/recovery/replica.py
+++ b/src/ramppin/gateway/process/recovery/replica.py
@@ -54,7 +54,7 @@
         self.confirmed_at = float("-inf")
         self._on_change = on_change
         self._records: dict[str, Record] = {}
-        self._waiting: dict[Callable[[], None], None] = {}
+        self._callbacks: dict[Callable[[], None], None] = {}
 
     def __len__(self) -> int:
         return sum(record.value is not None for record in self._records.values())
@@ -76,7 +76,7 @@
             self._put(record)
         if position > self.position:
             self.position = position
-            self._wake()
+            self._notify()
         self.confirmed_at = max(self.confirmed_at, as_of)
 
     def replace(self, records: Iterable[Record], position: int, as_of: float) -> None:
@@ -94,19 +94,19 @@
 
     def call_when_advanced(self, callback: Callable[[], None]) -> None:
         """Call back once when the position next moves."""
-        self._waiting[callback] = None
+        self._callbacks[callback] = None
 
-    def forget_callback(self, callback: Callable[[], None]) -> None:
+    def remove_callback(self, callback: Callable[[], None]) -> None:
         """Call back no more.
 
         Without it, each question that ended its wait in vain would stay in memory
         until the table next changes.
         """
-        self._waiting.pop(callback, None)
+        self._callbacks.pop(callback, None)
 
-    def _wake(self) -> None:
-        waiting, self._waiting = self._waiting, {}
-        for callback in waiting:
+    def _notify(self) -> None:
+        callbacks, self._callbacks = self._callbacks, {}
+        for callback in callbacks:
             callback()
 
     def _put(self, record: Record) -> None:
