--- a/src/ramppin/gateway/process/recovery/relays.py
+++ b/src/ramppin/gateway/process/recovery/relays.py
@@ -34,7 +34,7 @@
 from ramppin.gateway.process.recovery.replica import Record
 from ramppin.gateway.process.recovery.sources import RecordBatch, RecordSource
 
-SPARE_LOG_S = 3.0
+LOG_PAUSE_S = 3.0
 """Seconds after a failed call of its own for which a VM leaves the log to its relays,
 even if they have lost it too: each call is priced, also one that is refused, and while
 the log is away every VM would make two or three a second."""
@@ -98,7 +98,7 @@
             return await self._ask(relay, position, wait_s)
         except LogUnavailableError as error:
             now = asyncio.get_running_loop().time()
-            if self._contact.failed_within(SPARE_LOG_S, now):
+            if self._contact.failed_within(LOG_PAUSE_S, now):
                 # The log fails here too: the relay is still the one that costs least.
                 raise
             self._avoid(relay, error)
@@ -141,7 +141,7 @@
     def _list_avoided(self) -> set[str]:
         """Return relays to pass over; none while the log fails here as well."""
         now = asyncio.get_running_loop().time()
-        if self._contact.failed_within(SPARE_LOG_S, now):
+        if self._contact.failed_within(LOG_PAUSE_S, now):
             return set()
         self._avoid_until = {
             vm: until for vm, until in self._avoid_until.items() if now < until
