--- a/src/ramppin/gateway/process/recovery/relays.py
+++ b/src/ramppin/gateway/process/recovery/relays.py
@@ -95,16 +95,16 @@
                 wait_s = self._times.choose_relay_wait(age_s, wait_s)
             return await self._read_log(position, wait_s)
         try:
-            return await self._ask(relay, position, wait_s)
+            return await self._query_relay(relay, position, wait_s)
         except LogUnavailableError as error:
             now = asyncio.get_running_loop().time()
             if self._contact.failed_within(LOG_PAUSE_S, now):
                 # The log fails here too: the relay is still the one that costs least.
                 raise
             self._avoid(relay, error)
-        return await self._read_elsewhere(relays, position)
+        return await self._read_fallback(relays, position)
 
-    async def _read_elsewhere(self, relays: list[Member], position: int) -> RecordBatch:
+    async def _read_fallback(self, relays: list[Member], position: int) -> RecordBatch:
         """Ask another relay at once, and read the log itself if that fails too.
 
         When a relay is stopped, each of its forty VMs would make a call for each table.
@@ -112,7 +112,7 @@
         other = choose_own_relay(self._own, relays, self._list_avoided())
         if other is not None:
             try:
-                return await self._ask(other, position, 0.0)
+                return await self._query_relay(other, position, 0.0)
             except LogUnavailableError as error:
                 self._avoid(other, error)
         return await self._read_log(position, 0.0)
@@ -148,8 +148,10 @@
         }
         return set(self._avoid_until)
 
-    async def _ask(self, relay: Member, position: int, wait_s: float) -> RecordBatch:
-        fetcher = self._open(relay)
+    async def _query_relay(
+        self, relay: Member, position: int, wait_s: float
+    ) -> RecordBatch:
+        fetcher = self._open_fetcher(relay)
         loop = asyncio.get_running_loop()
         asked_at = loop.time()
         wait_s = self._times.choose_wait(
@@ -166,7 +168,7 @@
             timeout_s=wait_s + self._times.call_timeout_s,
         )
         state = decode_answer(answer.body, relay.host).tables.get(self._name)
-        self._check(state, position, relay)
+        self._check_answer(state, position, relay)
         assert state is not None
         age_s = state.age_ms / 1000
         records = tuple(Record(r.key, r.value, r.offset) for r in state.records)
@@ -176,7 +178,9 @@
         self._known_at = asked_at + batch.waited_s - age_s
         return batch
 
-    def _check(self, state: TableState | None, position: int, relay: Member) -> None:
+    def _check_answer(
+        self, state: TableState | None, position: int, relay: Member
+    ) -> None:
         known = state.position if state else None
         age_s = state.age_ms / 1000 if state else 0.0
         fault = self._times.find_rejection_reason(
@@ -186,7 +190,7 @@
             raise LogUnavailableError(fault, step="relay", peer=relay.vm)
         self._after_stale_update = age_s > self._times.max_age_s
 
-    def _open(self, relay: Member) -> Fetcher:
+    def _open_fetcher(self, relay: Member) -> Fetcher:
         if self._fetcher is None or self._fetcher_vm != relay.vm:
             if self._fetcher is not None:
                 self._fetcher.close()
