--- a/src/ramppin/gateway/process/recovery/relays.py
+++ b/src/ramppin/gateway/process/recovery/relays.py
@@ -199,7 +199,7 @@
         return self._fetcher
 
 
-class RelayChoice:
+class RelaySelector:
     """The relays of the fleet, by this VM's list of members.
 
     Args:
--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -31,7 +31,7 @@
 from ramppin.gateway.process.recovery.peerreader import PeerReader
 from ramppin.gateway.process.recovery.recordapplier import RecordApplier
 from ramppin.gateway.process.recovery.relayrules import RelayTimes
-from ramppin.gateway.process.recovery.relays import RelayChoice, RelayedSource
+from ramppin.gateway.process.recovery.relays import RelayedSource, RelaySelector
 from ramppin.gateway.process.recovery.replica import Record, Replica
 from ramppin.gateway.process.recovery.sources import (
     RecordDecoder,
@@ -128,7 +128,7 @@
             config.vm, config.peers.host, 0.0, config.failure_domain, config.weight
         )
         self._first_reads_due = 2
-        self._relays = RelayChoice(self._own, self.members, self.contact)
+        self._relays = RelaySelector(self._own, self.members, self.contact)
         applier = RecordApplier(
             config.settings_key, sources.decoder, context, self._find_hold_end
         )
