--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -17,7 +17,7 @@
     Member,
     MemberRecord,
 )
-from ramppin.gateway.process.recovery.logcontact import LogContact, WatchedSource
+from ramppin.gateway.process.recovery.logmonitor import LogMonitor, MonitoredSource
 from ramppin.gateway.process.recovery.relayrules import (
     RelayTimes,
     choose_own_relay,
@@ -69,8 +69,8 @@
     return members
 
 
-def build_contact() -> LogContact:
-    return LogContact(GatewayMetrics().log_calls)
+def build_monitor() -> LogMonitor:
+    return LogMonitor(GatewayMetrics().log_calls)
 
 
 def check_relays(vms: str, name: str, relays: list[str]) -> None:
@@ -161,13 +161,13 @@
 
 @then('after the calls "{calls}" the log is {state:w} to this VM {passed:g} s later')
 def step_log_state(context, calls, state, passed):
-    contact = build_contact()
+    monitor = build_monitor()
     for outcome in read_names(calls):
         if outcome == "ok":
-            contact.note_answered()
+            monitor.note_answered()
         else:
-            contact.note_failed(NOW)
-    assert contact.is_up(NOW + passed) is (state == "up")
+            monitor.note_failed(NOW)
+    assert monitor.is_up(NOW + passed) is (state == "up")
 
 
 @when("the log is lost to the reader too")
@@ -272,14 +272,14 @@
     context.bound_s = bound_s
     relays = relays or [Member("vm-1", "127.0.0.1", 0.0)]
     context.direct = TableStandIn()
-    contact = build_contact()
+    monitor = build_monitor()
     context.relayed = RelayedSource(
         "settings",
         Member("vm-2", "127.0.0.1", 0.0),
-        WatchedSource("settings", context.direct, contact),
+        MonitoredSource("settings", context.direct, monitor),
         context.fixture.gateway.records_port,
         lambda: relays,
-        contact,
+        monitor,
         times=RelayTimes.from_bound(bound_s),
     )
 
--- a/features/steps/interface_steps.py
+++ b/features/steps/interface_steps.py
@@ -37,7 +37,7 @@
 from ramppin.gateway.process.membership.members import MemberRecord
 from ramppin.gateway.process.membership.servernotices import NoticeSource
 from ramppin.gateway.process.quarantine.quarantine import ChangeKind
-from ramppin.gateway.process.recovery.logcontact import LogCall
+from ramppin.gateway.process.recovery.logmonitor import LogCall
 from ramppin.gateway.process.recovery.peermessages import (
     PeerAnswer,
     PeerQuestion,
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -163,7 +163,7 @@
             self.homes,
             FailureGossip(self.context.directory, config.failure_domain),
             LoadGossip(self.context.directory),
-            self.tables.contact.is_up,
+            self.tables.monitor.is_up,
             self._suspects,
             NoticeGossip(self.context.directory),
         )
--- a/src/ramppin/gateway/process/recovery/logcontact.py
+++ b/src/ramppin/gateway/process/recovery/logmonitor.py
@@ -38,7 +38,7 @@
     APPEND = "append"
 
 
-class LogContact:
+class LogMonitor:
     """Counts this VM's calls to the log, and tells whether it is up.
 
     Args:
@@ -95,49 +95,49 @@
             self._calls.inc(table, call.value, outcome)
 
 
-class WatchedSource(RecordSource):
+class MonitoredSource(RecordSource):
     """Passes reads on and notes their outcome.
 
     Args:
         table: the table's name.
         source: the table itself.
-        contact: takes the outcomes.
+        monitor: takes the outcomes.
 
     .. versionadded:: 0.2
     """
 
-    def __init__(self, table: str, source: RecordSource, contact: LogContact) -> None:
+    def __init__(self, table: str, source: RecordSource, monitor: LogMonitor) -> None:
         self._table = table
         self._source = source
-        self._contact = contact
+        self._monitor = monitor
 
     async def read_newest(self, *, timeout_s: float) -> RecordBatch:
         """Return the newest record of each key."""
-        with self._contact.watch(self._table, LogCall.WHOLE):
+        with self._monitor.watch(self._table, LogCall.WHOLE):
             return await self._source.read_newest(timeout_s=timeout_s)
 
     async def read_after(self, position: int, *, wait_s: float) -> RecordBatch:
         """Return what follows a position; wait for it if there is nothing."""
-        with self._contact.watch(self._table, LogCall.NEWS):
+        with self._monitor.watch(self._table, LogCall.NEWS):
             return await self._source.read_after(position, wait_s=wait_s)
 
 
-class WatchedLog(WatchedSource, RecordLog):
+class MonitoredLog(MonitoredSource, RecordLog):
     """Passes reads and writes on and notes their outcome.
 
     Args:
         table: the table's name.
         log: the table itself.
-        contact: takes the outcomes.
+        monitor: takes the outcomes.
 
     .. versionadded:: 0.2
     """
 
-    def __init__(self, table: str, log: RecordLog, contact: LogContact) -> None:
-        super().__init__(table, log, contact)
+    def __init__(self, table: str, log: RecordLog, monitor: LogMonitor) -> None:
+        super().__init__(table, log, monitor)
         self._log = log
 
     async def append(self, key: str, value: bytes) -> None:
         """Write the newest record of a key."""
-        with self._contact.watch(self._table, LogCall.APPEND):
+        with self._monitor.watch(self._table, LogCall.APPEND):
             await self._log.append(key, value)
--- a/src/ramppin/gateway/process/recovery/relays.py
+++ b/src/ramppin/gateway/process/recovery/relays.py
@@ -17,7 +17,7 @@
 from ramppin.errors import LogUnavailableError
 from ramppin.gateway.connection.fetch import Fetcher
 from ramppin.gateway.process.membership.members import FleetMembers, Member
-from ramppin.gateway.process.recovery.logcontact import LogContact
+from ramppin.gateway.process.recovery.logmonitor import LogMonitor
 from ramppin.gateway.process.recovery.peermessages import (
     RECORDS_TARGET,
     PeerQuestion,
@@ -51,7 +51,7 @@
         direct: the table in the shared log.
         port: the port on which relays answer.
         list_relays: returns the relays of the fleet.
-        contact: what this VM's own calls to the log show.
+        monitor: what this VM's own calls to the log show.
         times: how old records may grow on their way.
 
     .. versionadded:: 0.2
@@ -64,7 +64,7 @@
         direct: RecordSource,
         port: int,
         list_relays: Callable[[], list[Member]],
-        contact: LogContact,
+        monitor: LogMonitor,
         *,
         times: RelayTimes,
     ) -> None:
@@ -73,7 +73,7 @@
         self._direct = direct
         self._port = port
         self._list_relays = list_relays
-        self._contact = contact
+        self._monitor = monitor
         self._times = times
         self._known_at = float("-inf")
         self._after_stale_update = False
@@ -98,7 +98,7 @@
             return await self._query_relay(relay, position, wait_s)
         except LogUnavailableError as error:
             now = asyncio.get_running_loop().time()
-            if self._contact.failed_within(LOG_PAUSE_S, now):
+            if self._monitor.failed_within(LOG_PAUSE_S, now):
                 # The log fails here too: the relay is still the one that costs least.
                 raise
             self._avoid(relay, error)
@@ -141,7 +141,7 @@
     def _list_avoided(self) -> set[str]:
         """Return relays to pass over; none while the log fails here as well."""
         now = asyncio.get_running_loop().time()
-        if self._contact.failed_within(LOG_PAUSE_S, now):
+        if self._monitor.failed_within(LOG_PAUSE_S, now):
             return set()
         self._avoid_until = {
             vm: until for vm, until in self._avoid_until.items() if now < until
@@ -205,18 +205,18 @@
     Args:
         own: this VM.
         members: the other VMs.
-        contact: what this VM's own calls to the log show.
+        monitor: what this VM's own calls to the log show.
 
     .. versionadded:: 0.2
     """
 
-    def __init__(self, own: Member, members: FleetMembers, contact: LogContact) -> None:
+    def __init__(self, own: Member, members: FleetMembers, monitor: LogMonitor) -> None:
         self._own = own
         self._members = members
-        self._contact = contact
+        self._monitor = monitor
 
     def list_relays(self) -> list[Member]:
         """Return the relays now."""
         now = asyncio.get_running_loop().time()
-        self._own.log_up = self._contact.is_up(now)
+        self._own.log_up = self._monitor.is_up(now)
         return choose_relays([self._own, *self._members.list_live(now)])
--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -22,10 +22,10 @@
 )
 from ramppin.gateway.process.quarantine.news import QuarantineNews
 from ramppin.gateway.process.recovery.follower import FollowedTable, Follower
-from ramppin.gateway.process.recovery.logcontact import (
-    LogContact,
-    WatchedLog,
-    WatchedSource,
+from ramppin.gateway.process.recovery.logmonitor import (
+    LogMonitor,
+    MonitoredLog,
+    MonitoredSource,
 )
 from ramppin.gateway.process.recovery.peerchoice import list_candidates
 from ramppin.gateway.process.recovery.peerreader import PeerReader
@@ -80,17 +80,17 @@
     homes: RecordLog
     decoder: RecordDecoder
 
-    def watch(self, contact: LogContact) -> GatewaySources:
+    def watch(self, monitor: LogMonitor) -> GatewaySources:
         """Return the same tables, whose calls are watched.
 
         Args:
-            contact: takes their outcomes.
+            monitor: takes their outcomes.
         """
         return GatewaySources(
-            WatchedSource("settings", self.settings, contact),
-            WatchedSource("servers", self.servers, contact),
-            WatchedLog("members", self.members, contact),
-            WatchedLog("homes", self.homes, contact),
+            MonitoredSource("settings", self.settings, monitor),
+            MonitoredSource("servers", self.servers, monitor),
+            MonitoredLog("members", self.members, monitor),
+            MonitoredLog("homes", self.homes, monitor),
             self.decoder,
         )
 
@@ -119,8 +119,8 @@
         suspects: QuarantineNews,
     ) -> None:
         self._config = config
-        self.contact = LogContact(context.metrics.log_calls)
-        self._sources = sources.watch(self.contact)
+        self.monitor = LogMonitor(context.metrics.log_calls)
+        self._sources = sources.watch(self.monitor)
         self._context = context
         self._generator = generator
         self.members = FleetMembers(config.vm, config.failure_domain)
@@ -128,7 +128,7 @@
             config.vm, config.peers.host, 0.0, config.failure_domain, config.weight
         )
         self._first_reads_due = 2
-        self._relays = RelaySelector(self._own, self.members, self.contact)
+        self._relays = RelaySelector(self._own, self.members, self.monitor)
         applier = RecordApplier(
             config.settings_key, sources.decoder, context, self._find_hold_end
         )
@@ -188,7 +188,7 @@
     async def _run_after_first_answer(
         self, work: Callable[[], Coroutine[Any, Any, None]]
     ) -> None:
-        await self.contact.first_answer.wait()
+        await self.monitor.first_answer.wait()
         await work()
 
     async def _announce(self) -> None:
@@ -274,7 +274,7 @@
             source,
             self._config.records.port,
             self._relays.list_relays,
-            self.contact,
+            self.monitor,
             times=RelayTimes.from_bound(bound_s),
         )
         follower = Follower(
