--- a/features/steps/gateway_clock_steps.py
+++ b/features/steps/gateway_clock_steps.py
@@ -99,8 +99,8 @@
 def step_answered(context, seconds):
     answer = run(context, context.fixture.ask("/again/x", request_id="r1"))
     assert answer.status == 200, answer.data
-    turns = context.fixture.gateway.context.directory.turns
-    run(context, wait_for(lambda: turns._due_at is not None, "a first turn"))
+    stall_detector = context.fixture.gateway.context.directory.stall_detector
+    run(context, wait_for(lambda: stall_detector._due_at is not None, "a first turn"))
     context.clock.suspended_s += seconds
 
 
@@ -159,8 +159,8 @@
 def step_send_there(context, seconds=0.0):
     async def send() -> None:
         fixture = context.fixture
-        turns = fixture.gateway.context.directory.turns
-        await wait_for(lambda: turns._due_at is not None, "a first turn")
+        stall_detector = fixture.gateway.context.directory.stall_detector
+        await wait_for(lambda: stall_detector._due_at is not None, "a first turn")
         caller = await fixture.connect()
         await caller.send(encode_request("/again/x", request_id="r1"))
         pool = fixture.gateway.context.pool
--- a/features/steps/gateway_server_rule_steps.py
+++ b/features/steps/gateway_server_rule_steps.py
@@ -41,7 +41,7 @@
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
 from ramppin.gateway.process.routing.selection import SelectionRequest
 from ramppin.gateway.process.routing.serverstate import BackendServer, ServerState
-from ramppin.gateway.process.stalldetector import Turns
+from ramppin.gateway.process.stalldetector import StallDetector
 from ramppin.ranking import RendezvousRanking
 
 NOW = 100.0
@@ -244,24 +244,24 @@
     assert not news.collect(NOW + 0.1)
 
 
-def build_turns(moments: str) -> Turns:
+def build_stall_detector(moments: str) -> StallDetector:
     """Return turns of 0.25 s that came at some moments."""
-    turns = Turns(0.25)
+    stall_detector = StallDetector(0.25)
     for moment in read_names(moments):
-        turns.note_turn(NOW + float(moment))
-    return turns
+        stall_detector.note_tick(NOW + float(moment))
+    return stall_detector
 
 
 @then('a process with turns of 0.25 s at "{moments}" is behind at {asked:g}: {behind}')
 def step_behind(context, moments, asked, behind):
-    assert build_turns(moments).is_behind(NOW + asked) is is_yes(behind)
+    assert build_stall_detector(moments).is_behind(NOW + asked) is is_yes(behind)
 
 
 @then(
     "a server silent for {silent:g} s is not unresponsive to a process that is behind"
 )
 def step_silent_behind(context, silent):
-    context.directory = ServerDirectory(build_turns("0"))
+    context.directory = ServerDirectory(build_stall_detector("0"))
     state = context.directory.put(BackendServer("s0", "plain", "127.0.0.1", 1))
     context.asked_at = NOW + silent
     state.health.note_sent(NOW)
--- a/features/steps/platform_cold_steps.py
+++ b/features/steps/platform_cold_steps.py
@@ -20,7 +20,7 @@
 from ramppin.gateway.process.routing.homes import PrefixHomes
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
 from ramppin.gateway.process.routing.selection import SelectionRequest
-from ramppin.gateway.process.stalldetector import Turns
+from ramppin.gateway.process.stalldetector import StallDetector
 from ramppin.ranking import RendezvousRanking
 from standins.common import wait_for
 
@@ -132,14 +132,14 @@
 
 @then("after a stall of {late:g} s, {after} s after its wake a VM waits for {wait:g} s")
 def step_catch_up(context, late, after, wait):
-    turns = Turns(PERIOD_S)
-    turns.note_turn(NOW)
+    stall_detector = StallDetector(PERIOD_S)
+    stall_detector.note_tick(NOW)
     now = NOW + PERIOD_S + late
     if after != "*":
-        turns.note_turn(now)
-        turns.note_turn(now)
+        stall_detector.note_tick(now)
+        stall_detector.note_tick(now)
         now += float(after)
-    assert math.isclose(turns.measure_catch_up_s(now), wait, abs_tol=1e-6)
+    assert math.isclose(stall_detector.measure_catch_up_s(now), wait, abs_tol=1e-6)
 
 
 # the whole path
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -45,7 +45,7 @@
 from ramppin.gateway.process.routing.nearestselection import NearestSelection
 from ramppin.gateway.process.routing.noticegossip import NoticeGossip
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
-from ramppin.gateway.process.stalldetector import STALL_S, Turns
+from ramppin.gateway.process.stalldetector import STALL_S, StallDetector
 from ramppin.gateway.request.responder import ExchangeResponder
 
 SWEEP_S = 0.25
@@ -90,8 +90,8 @@
         self._callers_socket = callers_socket
         self.stopped = asyncio.Event()
         generator = random.Random(config.seed)
-        self._turns = Turns(SWEEP_S)
-        directory = ServerDirectory(self._turns)
+        self._stall_detector = StallDetector(SWEEP_S)
+        directory = ServerDirectory(self._stall_detector)
         self.homes = PrefixHomes(directory.is_open)
         self.context = GatewayContext(
             names=config.names,
@@ -302,7 +302,7 @@
         while True:
             await asyncio.sleep(SWEEP_S)
             now = loop.time()
-            self._note_turn(self._turns.note_turn(now), now)
+            self._note_tick(self._stall_detector.note_tick(now), now)
             for connection in list(context.listener.connections):
                 connection.check_timeouts(now)
             context.pool.sweep(now)
@@ -320,7 +320,7 @@
     def _list_sharing_vms(self, now: float) -> list[str]:
         return self.tables.list_sharing_vms(now)
 
-    def _note_turn(self, late_s: float, now: float) -> None:
+    def _note_tick(self, late_s: float, now: float) -> None:
         """Tell that this process got its turn late: its machine stalled, or its loop.
 
         Args:
--- a/src/ramppin/gateway/process/load/gossip.py
+++ b/src/ramppin/gateway/process/load/gossip.py
@@ -101,7 +101,7 @@
         A server at which none is overdue any more is told once. Nothing is told while
         this process is behind: what it has not read yet is not overdue.
         """
-        if self._directory.turns.is_behind(now):
+        if self._directory.stall_detector.is_behind(now):
             return []
         waits = {
             state.id: count
--- a/src/ramppin/gateway/process/load/waiting.py
+++ b/src/ramppin/gateway/process/load/waiting.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass
 
-from ramppin.gateway.process.stalldetector import Turns
+from ramppin.gateway.process.stalldetector import StallDetector
 
 OVERDUE_RATIO = 3.0
 """Multiple of the usual wait for a first byte after which a request is overdue: of
@@ -40,13 +40,13 @@
     """The requests that one backend server keeps waiting, of this VM and of others.
 
     Args:
-        turns: of this process; None where it never stalls.
+        stall_detector: of this process; None where it never stalls.
 
     .. versionadded:: 0.3
     """
 
-    def __init__(self, turns: Turns | None = None) -> None:
-        self._turns = turns or Turns()
+    def __init__(self, stall_detector: StallDetector | None = None) -> None:
+        self._stall_detector = stall_detector or StallDetector()
         self._since: dict[object, float] = {}
         self._abandoned_at: list[float] = []
         self._told: dict[str, ToldWaits] = {}
@@ -74,7 +74,7 @@
             usual_s: the usual wait for a first byte.
         """
         since = self._since.pop(request, None)
-        if self._turns.is_behind(now):
+        if self._stall_detector.is_behind(now):
             # Its bytes may be there, not read yet: no word of the server's.
             return
         if since is not None and now - since > OVERDUE_RATIO * usual_s:
--- a/src/ramppin/gateway/process/membership/health.py
+++ b/src/ramppin/gateway/process/membership/health.py
@@ -12,7 +12,7 @@
 
 from enum import Enum
 
-from ramppin.gateway.process.stalldetector import Turns
+from ramppin.gateway.process.stalldetector import StallDetector
 
 FAILURE_WEIGHT = 0.25
 """Weight of the newest outcome in the moving failure rate, from 0 to 1."""
@@ -51,13 +51,13 @@
     """Evidence about one backend server.
 
     Args:
-        turns: of this process; None where it never stalls.
+        stall_detector: of this process; None where it never stalls.
 
     .. versionadded:: 0.2
     """
 
-    def __init__(self, turns: Turns | None = None) -> None:
-        self._turns = turns or Turns()
+    def __init__(self, stall_detector: StallDetector | None = None) -> None:
+        self._stall_detector = stall_detector or StallDetector()
         self.failure_rate = 0.0
         self.ejected_until = float("-inf")
         self._ejection_s = FIRST_EJECTION_S
@@ -114,7 +114,7 @@
         since = self._awaited_since
         if since is None or now - since <= UNRESPONSIVE_AFTER_S:
             return False
-        return not self._turns.is_behind(now)
+        return not self._stall_detector.is_behind(now)
 
     def is_stalled(self, received_at: float, now: float) -> bool:
         """Return whether one request waits for an unresponsive server.
--- a/src/ramppin/gateway/process/routing/directory.py
+++ b/src/ramppin/gateway/process/routing/directory.py
@@ -14,18 +14,18 @@
 from ramppin.gateway.process.routing.evacuation import Evacuations
 from ramppin.gateway.process.routing.noticeregistry import NoticeRegistry
 from ramppin.gateway.process.routing.serverstate import BackendServer, ServerState
-from ramppin.gateway.process.stalldetector import Turns
+from ramppin.gateway.process.stalldetector import StallDetector
 
 
 class ServerDirectory:
     """Backend servers by service.
 
     Args:
-        turns: of this process; None where it never stalls.
+        stall_detector: of this process; None where it never stalls.
         read_time: returns the time of day in seconds.
 
     Attributes:
-        turns: of this process.
+        stall_detector: of this process.
         evacuations: failure domains whose servers get no new work.
         notices: what servers have said in their answers.
 
@@ -34,10 +34,10 @@
 
     def __init__(
         self,
-        turns: Turns | None = None,
+        stall_detector: StallDetector | None = None,
         read_time: Callable[[], float] = time.time,
     ) -> None:
-        self.turns = turns or Turns()
+        self.stall_detector = stall_detector or StallDetector()
         self.evacuations = Evacuations()
         self.notices = NoticeRegistry(read_time)
         self._states: dict[str, ServerState] = {}
@@ -72,7 +72,7 @@
         if state is None:
             times = self._times.setdefault(server.service, ServiceTimes())
             notices = self.notices.open(server.id, server.name, server.started_ms)
-            state = ServerState(server, times, self.turns, notices)
+            state = ServerState(server, times, self.stall_detector, notices)
             self._states[server.id] = state
         elif state.server.service != server.service:
             self._by_service[state.server.service].pop(server.id, None)
--- a/src/ramppin/gateway/process/routing/serverstate.py
+++ b/src/ramppin/gateway/process/routing/serverstate.py
@@ -16,7 +16,7 @@
 from ramppin.gateway.process.membership.health import ServerHealth
 from ramppin.gateway.process.membership.servernotices import ServerNotices
 from ramppin.gateway.process.membership.shedding import FleetShedding
-from ramppin.gateway.process.stalldetector import Turns
+from ramppin.gateway.process.stalldetector import StallDetector
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
     Args:
         server: as it announced itself.
         times: of its service's requests; None for some of its own.
-        turns: of this process; None where it never stalls.
+        stall_detector: of this process; None where it never stalls.
         notices: what this start has said before; None for nothing.
 
     Attributes:
@@ -92,17 +92,17 @@
         self,
         server: BackendServer,
         times: ServiceTimes | None = None,
-        turns: Turns | None = None,
+        stall_detector: StallDetector | None = None,
         notices: ServerNotices | None = None,
     ) -> None:
-        turns = turns or Turns()
+        stall_detector = stall_detector or StallDetector()
         self.id = server.id
         self.server = server
         self.in_flight = 0
         self.load = ServerLoad()
-        self.waiting = WaitingRequests(turns)
+        self.waiting = WaitingRequests(stall_detector)
         self.times = times or ServiceTimes()
-        self.health = ServerHealth(turns)
+        self.health = ServerHealth(stall_detector)
         self.evidence = FleetEvidence()
         self.shedding = FleetShedding()
         self.coldness = ServerColdness()
--- a/src/ramppin/gateway/process/stalldetector.py
+++ b/src/ramppin/gateway/process/stalldetector.py
@@ -21,7 +21,7 @@
 and back."""
 
 
-class Turns:
+class StallDetector:
     """The regular turns of a process.
 
     Args:
@@ -36,7 +36,7 @@
         self._behind_until = float("-inf")
         self._caught_up_at = float("-inf")
 
-    def note_turn(self, now: float) -> float:
+    def note_tick(self, now: float) -> float:
         """Note a turn, and return by how many seconds it is late."""
         late_s = 0.0 if self._due_at is None else max(0.0, now - self._due_at)
         self._due_at = now + self._period_s
--- a/src/ramppin/gateway/request/connecting.py
+++ b/src/ramppin/gateway/request/connecting.py
@@ -43,5 +43,5 @@
     now = asyncio.get_running_loop().time()
     if is_refused:
         context.quarantine.note_server_ended(state.id)
-    if is_refused or not context.directory.turns.is_behind(now):
+    if is_refused or not context.directory.stall_detector.is_behind(now):
         state.health.note_outcome(Outcome.UNREACHABLE, now)
--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -131,7 +131,9 @@
 
     async def _catch_up(self) -> None:
         """Wait while this VM reads what it missed in a long stall."""
-        pause_s = self._context.directory.turns.measure_catch_up_s(self._loop.time())
+        pause_s = self._context.directory.stall_detector.measure_catch_up_s(
+            self._loop.time()
+        )
         if pause_s > 0:
             await asyncio.sleep(pause_s)
 
