--- a/features/gateway/errors.feature
+++ b/features/gateway/errors.feature
@@ -15,7 +15,7 @@
   Scenario Outline: datagrams that are not hints are logged: <what>
     Given a gateway before two plain servers
     When the datagram "<what>" reaches the gateway
-    Then the process's own log shows "a datagram is not a hint"
+    Then the process's own log shows "malformed datagram dropped"
 
     Examples:
       | what    |
--- a/src/ramppin/gateway/connection/datagrams.py
+++ b/src/ramppin/gateway/connection/datagrams.py
@@ -1,7 +1,8 @@
-"""Datagrams between VMs: hints on homes, loads, failures; they may be lost.
+"""UDP datagrams between VMs: hints about prefix homes, loads and failures.
 
-MessagePack through msgspec in place of CBOR over WebSockets: a hint needs no
-connection, and msgspec checks each message against its type while decoding.
+Delivery is not guaranteed. Messages are MessagePack arrays, encoded by msgspec, in
+place of CBOR over WebSockets: a hint needs no connection, and msgspec validates each
+message against its type while decoding.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class HomeHint(msgspec.Struct, array_like=True, frozen=True):
-    """Where a prefix is: its key, the backend server, and the age in ms."""
+    """The home of a prefix: its key, the backend server, and the age in ms."""
 
     key: int
     server: str
@@ -25,14 +26,14 @@
 
 
 class FailureHint(msgspec.Struct, array_like=True, frozen=True):
-    """A backend server and the requests that it failed since the last message."""
+    """A backend server and the number of requests it failed since the last message."""
 
     server: str
     count: int
 
 
 class LoadHint(msgspec.Struct, array_like=True, frozen=True):
-    """A backend server, the requests that it held, and the age of that in ms."""
+    """A backend server, the requests in its load report, and the report's age in ms."""
 
     server: str
     requests: int
@@ -40,19 +41,19 @@
 
 
 class WaitHint(msgspec.Struct, array_like=True, frozen=True):
-    """A backend server and how many of the sender's requests are overdue there."""
+    """A backend server and the number of the sender's requests overdue there."""
 
     server: str
     count: int
 
 
 class EndHint(msgspec.Struct, array_like=True, frozen=True):
-    """A backend server that ended under a request.
+    """A backend server that terminated while it held a request.
 
     Attributes:
-        server: its id.
-        age_ms: time since its end.
-        held_ms: time for which it had had the request.
+        server: the server's id.
+        age_ms: time since it terminated.
+        held_ms: time from sending the request until the server terminated.
     """
 
     server: str
@@ -61,15 +62,16 @@
 
 
 class SuspectHint(msgspec.Struct, array_like=True, frozen=True):
-    """What the sender knows of a request under which servers ended.
+    """The sender's record of a request during which servers terminated.
 
     Attributes:
-        fingerprint: the request's.
-        ends: of servers since it last ran well.
-        count: ends one after the other, by the sender's count.
-        cleared: servers whose ends no longer count, since it ran well after them.
-        was_served: whether it is known to have run well before.
-        tried_age_ms: time since a copy was let through on trial; None if none was.
+        fingerprint: identifies the request.
+        ends: terminations of servers since the request last succeeded.
+        count: consecutive terminations, as counted by the sender.
+        cleared: servers whose termination no longer counts, because the request
+            succeeded afterwards.
+        was_served: whether the request is known to have succeeded before.
+        tried_age_ms: time since a copy was admitted on trial; None if none was.
     """
 
     fingerprint: int
@@ -81,34 +83,36 @@
 
 
 class LeavingHint(msgspec.Struct, array_like=True, frozen=True):
-    """A backend server that said in an answer that it leaves, and the age in ms."""
+    """A backend server that announced in an answer that it is leaving; age in ms."""
 
     server: str
     age_ms: int
 
 
 class BackoffHint(msgspec.Struct, array_like=True, frozen=True):
-    """A backend server that asked the sender for rest, and what is left of it in ms."""
+    """A backend server that asked the sender for a back-off; remaining time in ms."""
 
     server: str
     remaining_ms: int
 
 
 class PeerHints(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram.
+    """The content of one datagram.
+
+    Fields are encoded by position: append new ones at the end, with a default.
 
     Attributes:
-        vm: who sends it.
+        vm: the sending VM.
         homes: homes of prefixes.
-        log_up: whether the shared log serves the sender.
-        failures: of servers that failed the sender's requests.
-        loads: of servers that answered the sender's requests.
-        waits: of servers that keep the sender's requests waiting, or no longer do.
+        log_up: whether the shared log is reachable from the sender.
+        failures: failures of the sender's requests, by server.
+        loads: loads of the servers that answered the sender's requests.
+        waits: overdue requests of the sender by server; 0 once none is overdue.
         hot: keys of prefixes that need more servers than their home.
-        suspects: requests under which servers ended, or that ran well since.
-        quarantine_digest: one number for all requests that the sender refuses.
-        leaving: servers that said in answers that they leave.
-        backoffs: servers that asked the sender for rest.
+        suspects: requests during which servers terminated, or that succeeded since.
+        quarantine_digest: digest of all requests that the sender refuses.
+        leaving: servers that announced in answers that they are leaving.
+        backoffs: servers that asked the sender for a back-off.
     """
 
     vm: str
@@ -129,10 +133,10 @@
 
 
 class DatagramLink(asyncio.DatagramProtocol):
-    """Sends and receives hints.
+    """A UDP endpoint that exchanges hints with other VMs.
 
     Args:
-        on_message: called with each message and its sender's IP address.
+        on_message: called with each decoded message and its source IP address.
 
     .. versionadded:: 0.2
     """
@@ -143,7 +147,7 @@
 
     @property
     def port(self) -> int:
-        """The port of the link."""
+        """The local UDP port."""
         assert self._transport is not None
         return int(self._transport.get_extra_info("sockname")[1])
 
@@ -151,7 +155,7 @@
     async def open(
         cls, host: str, port: int, on_message: Callable[[PeerHints, str], None]
     ) -> DatagramLink:
-        """Open a link on an address."""
+        """Bind an endpoint to a local address."""
         loop = asyncio.get_running_loop()
         _, link = await loop.create_datagram_endpoint(
             lambda: cls(on_message), local_addr=(host, port)
@@ -159,25 +163,25 @@
         return link
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        # Python 3.11's own transport does not inherit from DatagramTransport.
+        """Store the transport."""
+        # In Python 3.11 the transport does not derive from DatagramTransport.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Decode a message; drop anything else."""
+        """Decode a message; drop datagrams that can't be decoded."""
         try:
             hints = _DECODER.decode(data)
         except msgspec.MsgspecError:
-            LOG.info("a datagram is not a hint, dropped", extra={"peer": addr[0]})
+            LOG.info("malformed datagram dropped", extra={"peer": addr[0]})
             return
         self._on_message(hints, addr[0])
 
     def error_received(self, exc: Exception) -> None:
-        """Log what the network reports; hints may be lost."""
-        LOG.info("a datagram was not delivered: %s", exc, extra={"step": "hints"})
+        """Log a network error; the datagram is not sent again."""
+        LOG.info("datagram not delivered: %s", exc, extra={"step": "hints"})
 
     def send(self, hints: PeerHints, hosts: list[str], port: int) -> None:
-        """Send a message to several VMs."""
+        """Send a message to each host; do nothing once the endpoint is closed."""
         if self._transport is None or self._transport.is_closing():
             return
         data = _ENCODER.encode(hints)
@@ -185,6 +189,6 @@
             self._transport.sendto(data, (host, port))
 
     def close(self) -> None:
-        """Close the link."""
+        """Close the endpoint."""
         if self._transport is not None:
             self._transport.close()
