--- a/features/steps/quarantine_rule_steps.py
+++ b/features/steps/quarantine_rule_steps.py
@@ -79,14 +79,14 @@
     times = (context.last_end_at, over_at - 0.01, over_at, over_at + 0.01, over_at + 59)
     admitted = [context.quarantine.admit(REQUEST, at) for at in times]
     assert admitted == [False, False, True, False, False], admitted
-    assert context.quarantine.find_rest_s(REQUEST, over_at - 1) >= 1
+    assert context.quarantine.measure_remaining_refusal_s(REQUEST, over_at - 1) >= 1
 
 
 @then("a copy on trial that ends a server prolongs the time to {rest:d} s")
 def step_prolong(context, rest):
     assert context.quarantine.admit(REQUEST, 70.0)
     lose(context.quarantine, "s-9", 70.0, 71.0)
-    assert context.quarantine.find_rest_s(REQUEST, 71.0) == rest
+    assert context.quarantine.measure_remaining_refusal_s(REQUEST, 71.0) == rest
 
 
 @then("a copy on trial that runs well clears the request")
--- a/src/ramppin/gateway/process/membership/health.py
+++ b/src/ramppin/gateway/process/membership/health.py
@@ -129,7 +129,7 @@
         """Return whether other servers should be preferred."""
         return now < self.ejected_until or self.is_unresponsive(now)
 
-    def measure_rest_s(self, now: float) -> float:
+    def measure_remaining_ejection_s(self, now: float) -> float:
         """Return for how long the server is likely to be passed over, in seconds."""
         if self.is_unresponsive(now):
             return UNRESPONSIVE_AFTER_S
--- a/src/ramppin/gateway/process/operations.py
+++ b/src/ramppin/gateway/process/operations.py
@@ -125,7 +125,7 @@
                 "fingerprint": show_fingerprint(fingerprint),
                 "ends": len(record.ends),
                 "counted": record.count_ends(),
-                "refused_s": _shorten(record.find_rest_s(now)),
+                "refused_s": _shorten(record.measure_remaining_refusal_s(now)),
                 "last_end_age_s": _measure_age(now, record.last_end_at),
                 "was_served": record.was_served,
             }
--- a/src/ramppin/gateway/process/quarantine/quarantine.py
+++ b/src/ramppin/gateway/process/quarantine/quarantine.py
@@ -156,7 +156,7 @@
         if fingerprint not in self._held:
             return True
         record = self._records[fingerprint]
-        if record.find_rest_s(now) > 0:
+        if record.measure_remaining_refusal_s(now) > 0:
             return False
         record.tried_at = record.changed_at = now
         self._note_untold(fingerprint)
@@ -191,10 +191,10 @@
         record = self._records.get(fingerprint)
         return servers | record.ends.keys() if record else servers
 
-    def find_rest_s(self, fingerprint: int, now: float) -> float:
+    def measure_remaining_refusal_s(self, fingerprint: int, now: float) -> float:
         """Return for how many more seconds a request is refused; 0 if it is not."""
         record = self._records.get(fingerprint)
-        return record.find_rest_s(now) if record else 0.0
+        return record.measure_remaining_refusal_s(now) if record else 0.0
 
     def find_last_end_at(self, fingerprint: int) -> float:
         """Return the loop's time of the newest end under a request."""
--- a/src/ramppin/gateway/process/quarantine/record.py
+++ b/src/ramppin/gateway/process/quarantine/record.py
@@ -22,7 +22,7 @@
 and so in flight at many ends that another caused: it may well meet three of them before
 its next whole answer."""
 
-FIRST_REST_S = 60.0
+FIRST_REFUSAL_S = 60.0
 """Seconds for which a request is refused after the third end: long beside the seconds
 in which a server is back. Then one copy may show whether it still ends its server."""
 
@@ -145,7 +145,7 @@
         """Whether the request is refused, or may run on trial only."""
         return self.count_ends() >= self.min_ends
 
-    def find_rest_s(self, now: float) -> float:
+    def measure_remaining_refusal_s(self, now: float) -> float:
         """Return for how many more seconds the request is refused; 0 if it is not.
 
         Args:
@@ -154,5 +154,5 @@
         surplus = self.count_ends() - self.min_ends
         if surplus < 0:
             return 0.0
-        rest_s = FIRST_REST_S * (1 << min(surplus, MAX_DOUBLINGS))
-        return max(0.0, max(self.last_end_at, self.tried_at) + rest_s - now)
+        refusal_s = FIRST_REFUSAL_S * (1 << min(surplus, MAX_DOUBLINGS))
+        return max(0.0, max(self.last_end_at, self.tried_at) + refusal_s - now)
--- a/src/ramppin/gateway/request/crashwatch.py
+++ b/src/ramppin/gateway/request/crashwatch.py
@@ -78,6 +78,8 @@
             else:
                 self._context.server_checks.start(state)
 
-    def find_rest_s(self, now: float) -> float:
+    def measure_remaining_refusal_s(self, now: float) -> float:
         """Return for how many more seconds the request is refused; 0 if it is not."""
-        return self._context.quarantine.find_rest_s(self._fingerprint, now)
+        return self._context.quarantine.measure_remaining_refusal_s(
+            self._fingerprint, now
+        )
--- a/src/ramppin/gateway/request/retryafter.py
+++ b/src/ramppin/gateway/request/retryafter.py
@@ -52,7 +52,10 @@
     if not states:
         return NO_SERVER_S
     return min(
-        max(state.health.measure_rest_s(now), state.shedding.measure_backoff_s(now))
+        max(
+            state.health.measure_remaining_ejection_s(now),
+            state.shedding.measure_backoff_s(now),
+        )
         for state in states
     )
 
--- a/src/ramppin/gateway/request/serverchoice.py
+++ b/src/ramppin/gateway/request/serverchoice.py
@@ -95,10 +95,10 @@
             ends_at: the loop's time at which the request is given up.
         """
         context = self._context
-        rest_s = self._watch.find_rest_s(now)
-        if rest_s > 0:
+        refusal_s = self._watch.measure_remaining_refusal_s(now)
+        if refusal_s > 0:
             # Before that it would be refused again.
-            return rest_s
+            return refusal_s
         survey = context.gate.survey(self._admission.service, now)
         open_states = survey.list_open()
         opening_s, closed_s = find_opening_s(open_states, now), 0.0
