--- a/bench/vms/crashes.py
+++ b/bench/vms/crashes.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from ramppin.gateway.connection.datagrams import SuspectHint
-from ramppin.gateway.process.quarantine.news import QuarantineNews
+from ramppin.gateway.process.quarantine.gossip import QuarantineNews
 from ramppin.gateway.process.quarantine.quarantine import Quarantine
 from ramppin.gateway.process.routing.hints import (
     BURST_DATAGRAMS,
--- a/features/steps/quarantine_rule_steps.py
+++ b/features/steps/quarantine_rule_steps.py
@@ -10,7 +10,7 @@
 
 from bench.vms.crashes import CrashPattern, play_crashes
 from ramppin.gateway.connection.datagrams import HomeHint, PeerHints, SuspectHint
-from ramppin.gateway.process.quarantine.news import QuarantineNews
+from ramppin.gateway.process.quarantine.gossip import QuarantineNews
 from ramppin.gateway.process.quarantine.quarantine import MAX_RECORDS, Quarantine
 
 REQUEST = 0x5EED_0000_0000_0001
--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -20,7 +20,7 @@
     Member,
     announce,
 )
-from ramppin.gateway.process.quarantine.news import QuarantineNews
+from ramppin.gateway.process.quarantine.gossip import QuarantineNews
 from ramppin.gateway.process.recovery.follower import FollowedTable, Follower
 from ramppin.gateway.process.recovery.logmonitor import (
     LogMonitor,
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -21,7 +21,7 @@
 )
 from ramppin.gateway.process.load.gossip import LoadGossip
 from ramppin.gateway.process.membership.members import FleetMembers
-from ramppin.gateway.process.quarantine.news import QuarantineNews
+from ramppin.gateway.process.quarantine.gossip import QuarantineNews
 from ramppin.gateway.process.quarantine.quarantine import Quarantine
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.failuregossip import FailureGossip
--- a/src/ramppin/gateway/process/routing/homesnapshot.py
+++ b/src/ramppin/gateway/process/routing/homesnapshot.py
@@ -19,7 +19,7 @@
 from ramppin.errors import LogUnavailableError
 from ramppin.gateway.connection.datagrams import HomeHint, SuspectHint
 from ramppin.gateway.process.membership.members import FleetMembers
-from ramppin.gateway.process.quarantine.news import QuarantineNews
+from ramppin.gateway.process.quarantine.gossip import QuarantineNews
 from ramppin.gateway.process.quarantine.quarantine import Quarantine
 from ramppin.gateway.process.recovery.sources import RecordLog
 from ramppin.gateway.process.routing.homes import HomeAnnouncement, PrefixHomes
