--- a/bench/vms/clock.py
+++ b/bench/vms/clock.py
@@ -131,7 +131,7 @@
         for offset, vm in enumerate(self.vms):
             entry = msgspec.json.encode(MemberRecord(vm.host, vm.domain))
             for other in self.vms:
-                other.members.take_record(Record(vm.name, entry, offset), 0.0)
+                other.members.apply_record(Record(vm.name, entry, offset), 0.0)
 
     def start_turns(self, choose: Callable[[], float]) -> None:
         """Give each VM its regular turns.
--- a/bench/vms/crashes.py
+++ b/bench/vms/crashes.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from ramppin.gateway.connection.datagrams import SuspectHint
-from ramppin.gateway.process.quarantine.gossip import QuarantineNews
+from ramppin.gateway.process.quarantine.gossip import QuarantineGossip
 from ramppin.gateway.process.quarantine.quarantine import Quarantine
 from ramppin.gateway.process.routing.hints import (
     BURST_DATAGRAMS,
@@ -101,7 +101,7 @@
 
     def __init__(self, vms: int, generator: random.Random) -> None:
         self.quarantine = Quarantine()
-        self.news = QuarantineNews(self.quarantine, generator)
+        self.news = QuarantineGossip(self.quarantine, generator)
         self.period_s = max(SHORTEST_PERIOD_S, vms / DATAGRAMS_PER_S)
         self.due_at = generator.random() * self.period_s
         self.heartbeat_at = generator.random() * HEARTBEAT_S
@@ -229,7 +229,7 @@
         self._result.vm_bytes += len(msgspec.msgpack.encode(hints))
         self._result.vm_datagrams += 1
         if not self._is_lost(number, peer):
-            self._vms[peer].news.take(hints, self._now)
+            self._vms[peer].news.apply(hints, self._now)
 
     def _is_lost(self, number: int, peer: int) -> bool:
         is_cut = self._now < self._pattern.seconds / 2
--- a/features/steps/gateway_clock_steps.py
+++ b/features/steps/gateway_clock_steps.py
@@ -186,7 +186,7 @@
     entry = msgspec.json.encode(MemberRecord("127.0.0.9", "porto"))
     for n in range(live + gone):
         seen_at = 100.0 if n < live else 50.0
-        members.take_record(Record(f"vm-{n + 1}", entry, n), seen_at)
+        members.apply_record(Record(f"vm-{n + 1}", entry, n), seen_at)
     context.now = 101.0 + seconds
     members.note_stall(seconds, context.now)
 
--- a/features/steps/gateway_load_steps.py
+++ b/features/steps/gateway_load_steps.py
@@ -141,7 +141,7 @@
     for number, domain in enumerate(domains):
         host = f"{HOSTS[domain]}.{number // 250}.{number % 250}"
         entry = msgspec.json.encode(MemberRecord(host, domain))
-        members.take_record(Record(f"vm-{number}", entry, number), NOW)
+        members.apply_record(Record(f"vm-{number}", entry, number), NOW)
     directory = build_directory(5)
     link = RecordingLink()
     hints = HintExchange(
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -62,7 +62,7 @@
     members = FleetMembers(own, own[0])
     for text in vms.split():
         record, last_seen_at = read_record(text)
-        members.take_record(record, last_seen_at)
+        members.apply_record(record, last_seen_at)
         if text.endswith(":away"):
             address = find_address(record.key)
             members.note_received(record.key, address, NOW, log_up=False)
--- a/features/steps/gateway_server_rule_steps.py
+++ b/features/steps/gateway_server_rule_steps.py
@@ -145,7 +145,7 @@
     members = FleetMembers("vm", "a")
     for number in range(others):
         entry = msgspec.json.encode(MemberRecord(f"10.0.0.{number}", "a"))
-        members.take_record(Record(f"vm-{number}", entry, number), NOW)
+        members.apply_record(Record(f"vm-{number}", entry, number), NOW)
     homes = PrefixHomes(lambda server: True)
     news = FailureGossip(ServerDirectory(), "a")
     loads = LoadGossip(ServerDirectory())
@@ -222,7 +222,7 @@
     state = build_server("s0", 0)
     state.health.note_sent(NOW - silent)
     state.health.note_unanswered(NOW)
-    assert bool(state.health.take_untold_failures()) is is_yes(told)
+    assert bool(state.health.pop_pending_failures()) is is_yes(told)
 
 
 @then("{count:d} VMs that each see one failure find a server out after {needed:d}")
@@ -268,7 +268,7 @@
     state.waiting.note_sent("request", NOW)
     assert not state.health.is_unresponsive(context.asked_at)
     state.health.note_unanswered(context.asked_at)
-    assert not state.health.take_untold_failures()
+    assert not state.health.pop_pending_failures()
 
 
 @then("its overdue requests are not told, nor held once they are given up")
--- a/features/steps/platform_entry_steps.py
+++ b/features/steps/platform_entry_steps.py
@@ -158,7 +158,7 @@
     def take(value: bytes) -> None:
         members = FleetMembers("vm-1", "porto")
         for offset, found in enumerate((encode_member(KNOWN_HOST), value)):
-            members.take_record(Record("vm-2", found, offset), NOW)
+            members.apply_record(Record("vm-2", found, offset), NOW)
         [member] = members.list_live(NOW)
         ip_address(member.host)
 
@@ -193,7 +193,7 @@
         snapshots = HomeSnapshots("vm-1", None, members, homes, lambda: True)
         snapshot = decode_snapshot(value)
         if snapshot is not None:
-            snapshots._suspects.take(snapshot.suspects, 0.0)
+            snapshots._suspects.apply(snapshot.suspects, 0.0)
             snapshots._take_homes(snapshot)
         assert homes.find(7) == "i-1"
 
--- a/features/steps/quarantine_rule_steps.py
+++ b/features/steps/quarantine_rule_steps.py
@@ -10,7 +10,7 @@
 
 from bench.vms.crashes import CrashPattern, play_crashes
 from ramppin.gateway.connection.datagrams import HomeHint, PeerHints, SuspectHint
-from ramppin.gateway.process.quarantine.gossip import QuarantineNews
+from ramppin.gateway.process.quarantine.gossip import QuarantineGossip
 from ramppin.gateway.process.quarantine.quarantine import MAX_RECORDS, Quarantine
 
 REQUEST = 0x5EED_0000_0000_0001
@@ -99,7 +99,7 @@
 
 @then('lines tell "{kinds}"')
 def step_lines(context, kinds):
-    changes = context.quarantine.take_changes()
+    changes = context.quarantine.pop_changes()
     assert [change.kind.value for change in changes] == kinds.split()
     assert len(changes[0].ends) == 3
 
@@ -113,7 +113,7 @@
     def __init__(self, count: int, lost_share: float = 0.0) -> None:
         self.random = random.Random(4)
         self.quarantines = [Quarantine() for _ in range(count)]
-        self.news = [QuarantineNews(q, self.random) for q in self.quarantines]
+        self.news = [QuarantineGossip(q, self.random) for q in self.quarantines]
         self.lost_share = lost_share
         self.cut = set()
         self.now = 100.0
@@ -138,7 +138,7 @@
     def take(self, vm: int, peer: int, hints: list[SuspectHint]) -> None:
         """Let a VM take what a peer tells, and answer it."""
         news, digest = self.news[vm], self.news[peer].digest
-        outdated = news.take(hints, self.now)
+        outdated = news.apply(hints, self.now)
         answers = news.reply(f"vm-{peer}", digest, self.now)
         for answer in [outdated, *answers] if outdated else answers:
             if not self.is_lost(vm, peer):
@@ -236,7 +236,7 @@
     unread = group.news[0].collect_held(group.now, 6)
     group.quarantines[4].note_served(REQUEST, group.now + 0.1)
     group.play(late)
-    group.news[stopped].take(unread, group.now)
+    group.news[stopped].apply(unread, group.now)
     assert group.list_refusing() == [False] * stopped + [True]
     group.cut = set()
 
--- a/features/steps/server_word_fleet_steps.py
+++ b/features/steps/server_word_fleet_steps.py
@@ -75,7 +75,7 @@
 @then('"{vm}" has nothing urgent to tell')
 def step_not_urgent(context, vm):
     assert not context.vms[vm].news.is_urgent
-    assert not context.vms[vm].news.has_news
+    assert not context.vms[vm].news.has_pending
 
 
 @then('the next {count:d} messages of "{vm}", 0.2 s apart, tell of "{told}"')
@@ -99,7 +99,7 @@
 def step_told(context, vm, other):
     hints = collect(context.vms[other], context.now)
     assert hints
-    context.vms[vm].news.take(hints, context.now)
+    context.vms[vm].news.apply(hints, context.now)
 
 
 @when('"{vm}" is told by "{other}" after {seconds:g} s')
@@ -151,7 +151,7 @@
 
 @when('"{vm}" is told of "{server}" with an age of {age:d} ms')
 def step_age(context, vm, server, age):
-    context.vms[vm].news.take([LeavingHint(server, age)], context.now)
+    context.vms[vm].news.apply([LeavingHint(server, age)], context.now)
 
 
 @then('"{server}" is closed to "{closed}" and open to "{others}"')
@@ -170,7 +170,7 @@
     for _ in range(count):
         hints = collect(context.vms[vm], context.now)
         assert len(hints) <= most, len(hints)
-        context.vms[other].news.take(hints, context.now)
+        context.vms[other].news.apply(hints, context.now)
         context.now += 0.08
     directory = context.vms[other].directory
     left = [state.id for state in directory if state.leaving]
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -32,7 +32,7 @@
 from ramppin.gateway.process.limits.retrybudget import RetryBudget
 from ramppin.gateway.process.load.gossip import LoadGossip
 from ramppin.gateway.process.operations import GatewayState, OperationsResponder
-from ramppin.gateway.process.quarantine.gossip import QuarantineNews
+from ramppin.gateway.process.quarantine.gossip import QuarantineGossip
 from ramppin.gateway.process.recovery.peeranswers import RecordsResponder
 from ramppin.gateway.process.recovery.tables import GatewaySources, GatewayTables
 from ramppin.gateway.process.reporting.decisions import DecisionLog
@@ -108,7 +108,7 @@
             failure_domain=config.failure_domain,
         )
         self.context.listener.note_refused = self._note_refused
-        self._suspects = QuarantineNews(self.context.quarantine, generator)
+        self._suspects = QuarantineGossip(self.context.quarantine, generator)
         self.tables = GatewayTables(
             config, sources, self.context, self.homes, generator, self._suspects
         )
--- a/src/ramppin/gateway/process/membership/health.py
+++ b/src/ramppin/gateway/process/membership/health.py
@@ -62,17 +62,17 @@
         self.ejected_until = float("-inf")
         self._ejection_s = FIRST_EJECTION_S
         self._awaited_since: float | None = None
-        self._untold_failures = 0
+        self._pending_failures = 0
 
-    def take_untold_failures(self) -> int:
+    def pop_pending_failures(self) -> int:
         """Return the failures since the last call, to be told to other VMs."""
-        count, self._untold_failures = self._untold_failures, 0
+        count, self._pending_failures = self._pending_failures, 0
         return count
 
     def note_unanswered(self, now: float) -> None:
         """Note a request that ended without an answer while the server was silent."""
         if self.is_unresponsive(now):
-            self._untold_failures += 1
+            self._pending_failures += 1
 
     def note_sent(self, now: float) -> None:
         """Note that a request left for the server."""
@@ -94,7 +94,7 @@
             self.ejected_until = max(self.ejected_until, now + BUSY_EJECTION_S)
             return
         if outcome is not Outcome.ANSWERED:
-            self._untold_failures += 1
+            self._pending_failures += 1
         if outcome is Outcome.UNREACHABLE:
             self._eject(now)
             return
--- a/src/ramppin/gateway/process/membership/members.py
+++ b/src/ramppin/gateway/process/membership/members.py
@@ -95,7 +95,7 @@
     def __len__(self) -> int:
         return len(self._members)
 
-    def take_record(self, record: Record, now: float) -> bool:
+    def apply_record(self, record: Record, now: float) -> bool:
         """Take a VM's entry; return whether it could be read."""
         if record.key == self._vm:
             return True
--- a/src/ramppin/gateway/process/quarantine/gossip.py
+++ b/src/ramppin/gateway/process/quarantine/gossip.py
@@ -38,7 +38,7 @@
 """Milliseconds of a second: hints carry ages in milliseconds, the rules use seconds."""
 
 
-class QuarantineNews:
+class QuarantineGossip:
     """Collects what to tell of requests, and takes what others tell.
 
     Args:
@@ -57,9 +57,9 @@
         self._replied_at: dict[str, float] = {}
         self._reply_at = float("-inf")
 
-    def watch(self, note_news: Callable[[], None]) -> None:
+    def watch(self, notify_pending: Callable[[], None]) -> None:
         """Have a function called when there is something to tell."""
-        self._quarantine.note_news = note_news
+        self._quarantine.notify_pending = notify_pending
 
     @property
     def digest(self) -> int:
@@ -69,7 +69,7 @@
     @property
     def is_urgent(self) -> bool:
         """Whether something is known that was not told yet."""
-        return self._quarantine.has_untold
+        return self._quarantine.has_pending
 
     def collect(self, now: float) -> list[SuspectHint]:
         """Return what to tell in the next message to all VMs.
@@ -77,7 +77,7 @@
         Args:
             now: the loop's time.
         """
-        for fingerprint in self._quarantine.take_untold():
+        for fingerprint in self._quarantine.pop_pending():
             self._tellings[fingerprint] = TELLINGS
         # What was told least often first.
         order = sorted(self._tellings, key=lambda f: -self._tellings[f])
@@ -121,7 +121,7 @@
         # A VM that refuses nothing answers too: the other then tells what it knows.
         return [hints[at : at + size] for at in range(0, max(1, len(hints)), size)]
 
-    def take(self, hints: Sequence[SuspectHint], now: float) -> list[SuspectHint]:
+    def apply(self, hints: Sequence[SuspectHint], now: float) -> list[SuspectHint]:
         """Take what another VM, or the snapshot, tells.
 
         Args:
--- a/src/ramppin/gateway/process/quarantine/quarantine.py
+++ b/src/ramppin/gateway/process/quarantine/quarantine.py
@@ -71,18 +71,18 @@
     """Requests under which servers ended.
 
     Attributes:
-        note_news: called when something is known that other VMs must be told.
+        notify_pending: called when something is known that other VMs must be told.
 
     .. versionadded:: 0.2
     """
 
     def __init__(self) -> None:
-        self.note_news: Callable[[], None] = lambda: None
+        self.notify_pending: Callable[[], None] = lambda: None
         self._records: OrderedDict[int, CrashRecord] = OrderedDict()
         self._losses: dict[str, dict[int, ServerEnd]] = {}
         self._served: OrderedDict[int, None] = OrderedDict()
         self._held: set[int] = set()
-        self._untold: set[int] = set()
+        self._pending: set[int] = set()
         self._changes: list[QuarantineChange] = []
 
     @property
@@ -124,7 +124,7 @@
     def note_server_ended(self, server: str) -> None:
         """Note that it is certain that an incarnation of a server has ended."""
         for fingerprint, loss in self._losses.pop(server, {}).items():
-            self._take_end(fingerprint, loss)
+            self._apply_end(fingerprint, loss)
 
     def note_served(self, fingerprint: int, now: float) -> None:
         """Note that a request ran well.
@@ -139,7 +139,7 @@
             self._served.popitem(last=False)
         record = self._records.get(fingerprint)
         if record is not None and record.ends:
-            self._take_served(fingerprint, record, now)
+            self._apply_served(fingerprint, record, now)
 
     # decisions
 
@@ -159,7 +159,7 @@
         if record.measure_remaining_refusal_s(now) > 0:
             return False
         record.tried_at = record.changed_at = now
-        self._note_untold(fingerprint)
+        self._mark_pending(fingerprint)
         self._note_change(ChangeKind.TRIED, fingerprint, record)
         return True
 
@@ -210,20 +210,20 @@
         record = self._records.get(fingerprint)
         if record is None or not record.ends:
             return False
-        self._take_served(fingerprint, record, now)
+        self._apply_served(fingerprint, record, now)
         return True
 
     # what others tell
 
-    def take_untold(self) -> set[int]:
+    def pop_pending(self) -> set[int]:
         """Return the fingerprints of which there is news since the last call."""
-        untold, self._untold = self._untold, set()
-        return untold
+        pending, self._pending = self._pending, set()
+        return pending
 
     @property
-    def has_untold(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether something is known that other VMs were not told."""
-        return bool(self._untold)
+        return bool(self._pending)
 
     def merge(self, fingerprint: int, told: CrashRecord, now: float) -> bool:
         """Take what another VM knows of a request.
@@ -255,7 +255,7 @@
 
     # what follows
 
-    def take_changes(self) -> list[QuarantineChange]:
+    def pop_changes(self) -> list[QuarantineChange]:
         """Return what became of requests since the last call."""
         changes, self._changes = self._changes, []
         return changes
@@ -277,18 +277,18 @@
         """Return what is known of some requests."""
         return {f: self._records[f] for f in fingerprints if f in self._records}
 
-    def _take_end(self, fingerprint: int, end: ServerEnd) -> None:
+    def _apply_end(self, fingerprint: int, end: ServerEnd) -> None:
         record = self._find_or_add(fingerprint)
         record.changed_at = max(record.changed_at, end.ended_at)
         if record.note_end(end):
-            self._note_untold(fingerprint)
+            self._mark_pending(fingerprint)
             self._hold_if_due(fingerprint, record)
 
-    def _take_served(self, fingerprint: int, record: CrashRecord, at: float) -> None:
+    def _apply_served(self, fingerprint: int, record: CrashRecord, at: float) -> None:
         ends = tuple(record.ends.values())
         record.note_served(at)
         record.changed_at = at
-        self._note_untold(fingerprint)
+        self._mark_pending(fingerprint)
         self._release_if_due(fingerprint, record, ends)
 
     def _release_if_due(
@@ -312,9 +312,9 @@
         self._held.add(fingerprint)
         self._note_change(ChangeKind.QUARANTINED, fingerprint, record)
 
-    def _note_untold(self, fingerprint: int) -> None:
-        self._untold.add(fingerprint)
-        self.note_news()
+    def _mark_pending(self, fingerprint: int) -> None:
+        self._pending.add(fingerprint)
+        self.notify_pending()
 
     def _note_change(
         self, kind: ChangeKind, fingerprint: int, record: CrashRecord
@@ -330,7 +330,7 @@
         if fingerprint in self._served and not record.was_served:
             # The others may not know: they must be told.
             record.was_served = True
-            self._note_untold(fingerprint)
+            self._mark_pending(fingerprint)
         return record
 
     def _add(self, fingerprint: int) -> CrashRecord:
@@ -344,4 +344,4 @@
     def _remove(self, fingerprint: int) -> None:
         del self._records[fingerprint]
         self._held.discard(fingerprint)
-        self._untold.discard(fingerprint)
+        self._pending.discard(fingerprint)
--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -20,7 +20,7 @@
     Member,
     announce,
 )
-from ramppin.gateway.process.quarantine.gossip import QuarantineNews
+from ramppin.gateway.process.quarantine.gossip import QuarantineGossip
 from ramppin.gateway.process.recovery.follower import FollowedTable, Follower
 from ramppin.gateway.process.recovery.logmonitor import (
     LogMonitor,
@@ -116,7 +116,7 @@
         context: GatewayContext,
         homes: PrefixHomes,
         generator: random.Random,
-        suspects: QuarantineNews,
+        suspects: QuarantineGossip,
     ) -> None:
         self._config = config
         self.monitor = LogMonitor(context.metrics.log_calls)
@@ -300,5 +300,5 @@
         )
 
     def _take_member(self, record: Record) -> None:
-        if not self.members.take_record(record, asyncio.get_running_loop().time()):
+        if not self.members.apply_record(record, asyncio.get_running_loop().time()):
             self._context.metrics.refused_entries.inc("members")
--- a/src/ramppin/gateway/process/reporting/noticelines.py
+++ b/src/ramppin/gateway/process/reporting/noticelines.py
@@ -34,7 +34,7 @@
         Args:
             now: the loop's time.
         """
-        for change in self._context.directory.notices.take_changes():
+        for change in self._context.directory.notices.pop_changes():
             self._note_closed(change, now)
         over = [key for key, backoff in self._backoffs.items() if now >= backoff.until]
         for server_id in over:
--- a/src/ramppin/gateway/process/reporting/quarantinelines.py
+++ b/src/ramppin/gateway/process/reporting/quarantinelines.py
@@ -14,7 +14,7 @@
         context: has the quarantine, and takes the lines.
         now: the loop's time.
     """
-    for change in context.quarantine.take_changes():
+    for change in context.quarantine.pop_changes():
         context.metrics.quarantine_changes.inc(change.kind.value)
         context.decisions.note(
             change.kind.value,
--- a/src/ramppin/gateway/process/routing/failuregossip.py
+++ b/src/ramppin/gateway/process/routing/failuregossip.py
@@ -39,7 +39,7 @@
         """Return the failures since the last call; count them here as well."""
         found = []
         for state in self._directory:
-            count = state.health.take_untold_failures()
+            count = state.health.pop_pending_failures()
             if count:
                 state.evidence.note_failures(count, self._failure_domain, now)
                 found.append(FailureHint(state.id, count))
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -21,7 +21,7 @@
 )
 from ramppin.gateway.process.load.gossip import LoadGossip
 from ramppin.gateway.process.membership.members import FleetMembers
-from ramppin.gateway.process.quarantine.gossip import QuarantineNews
+from ramppin.gateway.process.quarantine.gossip import QuarantineGossip
 from ramppin.gateway.process.quarantine.quarantine import Quarantine
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.failuregossip import FailureGossip
@@ -77,7 +77,7 @@
         servers: FailureGossip,
         loads: LoadGossip,
         is_log_up: Callable[[float], bool] = lambda now: True,
-        suspects: QuarantineNews | None = None,
+        suspects: QuarantineGossip | None = None,
         notices: NoticeGossip | None = None,
     ) -> None:
         self._vm = vm
@@ -88,7 +88,7 @@
         self._servers = servers
         self._loads = loads
         self._is_log_up = is_log_up
-        self._suspects = suspects or QuarantineNews(Quarantine())
+        self._suspects = suspects or QuarantineGossip(Quarantine())
         self._notices = notices or NoticeGossip(ServerDirectory())
         self._told_log_up = True
         self._woken = asyncio.Event()
@@ -136,7 +136,7 @@
             self._homes.apply_announcement(announcement, now)
         self._homes.hot.take(hints.hot, now)
         self._loads.take(hints, now)
-        self._notices.take(hints.leaving, now)
+        self._notices.apply(hints.leaving, now)
         self._notices.apply_backoffs(hints.vm, hints.backoffs, now)
         self._answer_suspects(hints, host, now)
         if hints.failures:
@@ -202,7 +202,7 @@
         suspects = self._suspects.collect(now)
         has_news = (
             bool(announcements or failures or loads.waits or hot or suspects)
-            or self._notices.has_news
+            or self._notices.has_pending
             or log_up != self._told_log_up
         )
         leaving = self._notices.collect(now)
@@ -249,7 +249,7 @@
 
     def _answer_suspects(self, hints: PeerHints, host: str, now: float) -> None:
         """Take what a VM knows of suspects, and tell it alone what it lacks."""
-        outdated = self._suspects.take(hints.suspects, now)
+        outdated = self._suspects.apply(hints.suspects, now)
         messages = self._suspects.reply(host, hints.quarantine_digest, now)
         if outdated:
             messages.append(outdated)
--- a/src/ramppin/gateway/process/routing/homesnapshot.py
+++ b/src/ramppin/gateway/process/routing/homesnapshot.py
@@ -19,7 +19,7 @@
 from ramppin.errors import LogUnavailableError
 from ramppin.gateway.connection.datagrams import HomeHint, SuspectHint
 from ramppin.gateway.process.membership.members import FleetMembers
-from ramppin.gateway.process.quarantine.gossip import QuarantineNews
+from ramppin.gateway.process.quarantine.gossip import QuarantineGossip
 from ramppin.gateway.process.quarantine.quarantine import Quarantine
 from ramppin.gateway.process.recovery.sources import RecordLog
 from ramppin.gateway.process.routing.homes import HomeAnnouncement, PrefixHomes
@@ -87,14 +87,14 @@
         members: FleetMembers,
         homes: PrefixHomes,
         has_servers: Callable[[], bool],
-        suspects: QuarantineNews | None = None,
+        suspects: QuarantineGossip | None = None,
     ) -> None:
         self._vm = vm
         self._log = log
         self._members = members
         self._homes = homes
         self._has_servers = has_servers
-        self._suspects = suspects or QuarantineNews(Quarantine())
+        self._suspects = suspects or QuarantineGossip(Quarantine())
         self._written_changes = 0
         self._written_digest = 0
 
@@ -123,7 +123,7 @@
         if snapshot is None:
             return
         now = asyncio.get_running_loop().time()
-        self._suspects.take(snapshot.suspects, now)
+        self._suspects.apply(snapshot.suspects, now)
         for _ in range(SERVER_CHECKS):
             if self._has_servers():
                 break
--- a/src/ramppin/gateway/process/routing/noticegossip.py
+++ b/src/ramppin/gateway/process/routing/noticegossip.py
@@ -44,17 +44,17 @@
         self._tellings: dict[str, int] = {}
         self._told_all_at = dict.fromkeys((True, False), float("-inf"))
 
-    def watch(self, note_news: Callable[[], None]) -> None:
+    def watch(self, notify_pending: Callable[[], None]) -> None:
         """Have a function called when there is something to tell."""
-        self._directory.notices.note_news = note_news
+        self._directory.notices.notify_pending = notify_pending
 
     @property
     def is_urgent(self) -> bool:
         """Whether an answer told something that was not told yet."""
-        return self._directory.notices.has_untold
+        return self._directory.notices.has_pending
 
     @property
-    def has_news(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether something is still to be told for which a message is worth it."""
         return self.is_urgent or bool(self._tellings)
 
@@ -64,7 +64,7 @@
         Args:
             now: the loop's time.
         """
-        for server_id in self._directory.notices.take_untold():
+        for server_id in self._directory.notices.pop_pending_leaving():
             self._tellings[server_id] = TELLINGS
         chosen = list(self._tellings)[:SERVERS_PER_MESSAGE]
         for server_id in chosen:
@@ -115,7 +115,7 @@
             if state is not None:
                 state.shedding.note_peer_backoff(vm, now + hint.remaining_ms / MS_PER_S)
 
-    def take(self, hints: Sequence[LeavingHint], now: float) -> None:
+    def apply(self, hints: Sequence[LeavingHint], now: float) -> None:
         """Take what another VM tells.
 
         Args:
--- a/src/ramppin/gateway/process/routing/noticeregistry.py
+++ b/src/ramppin/gateway/process/routing/noticeregistry.py
@@ -49,7 +49,7 @@
         read_time: returns the time of day in seconds.
 
     Attributes:
-        note_news: called when there is something to tell other VMs.
+        notify_pending: called when there is something to tell other VMs.
 
     .. versionadded:: 0.3
     """
@@ -59,14 +59,14 @@
         self._listed: dict[str, ServerNotices] = {}
         self._kept: OrderedDict[str, ServerNotices] = OrderedDict()
         self._changes: list[NoticeChange] = []
-        self._untold: list[str] = []
+        self._pending_leaving: list[str] = []
         self._pending_backoffs: list[str] = []
-        self.note_news: Callable[[], None] = lambda: None
+        self.notify_pending: Callable[[], None] = lambda: None
 
     @property
-    def has_untold(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether an answer told something that other VMs were not told yet."""
-        return bool(self._untold or self._pending_backoffs)
+        return bool(self._pending_leaving or self._pending_backoffs)
 
     # servers come and go
 
@@ -115,8 +115,8 @@
             return
         self._changes.append(NoticeChange(server_id, notices, ClosureReason.LEAVING))
         if source is NoticeSource.ANSWER:
-            self._untold.append(server_id)
-            self.note_news()
+            self._pending_leaving.append(server_id)
+            self.notify_pending()
 
     def note_backoff(self, server_id: str, backoff_s: float, now: float) -> None:
         """Take a server's word that it wants nothing from this VM for a while.
@@ -132,22 +132,22 @@
                 NoticeChange(server_id, notices, ClosureReason.RESTING)
             )
             self._pending_backoffs.append(server_id)
-            self.note_news()
+            self.notify_pending()
 
-    def take_changes(self) -> list[NoticeChange]:
+    def pop_changes(self) -> list[NoticeChange]:
         """Return what servers said since the last call, where that is news."""
         changes, self._changes = self._changes, []
         return changes
 
-    def take_untold(self) -> list[str]:
+    def pop_pending_leaving(self) -> list[str]:
         """Return the starts whose leaving an answer told since the last call."""
-        untold, self._untold = self._untold, []
-        return untold
+        pending, self._pending_leaving = self._pending_leaving, []
+        return pending
 
     def pop_pending_backoffs(self) -> list[str]:
         """Return the starts that asked for a rest since the last call."""
-        untold, self._pending_backoffs = self._pending_backoffs, []
-        return untold
+        pending, self._pending_backoffs = self._pending_backoffs, []
+        return pending
 
     def find_leaving(self, server_id: str) -> LeavingNotice | None:
         """Return the word of a start that it leaves, or None."""
