--- a/features/steps/quarantine_rule_steps.py
+++ b/features/steps/quarantine_rule_steps.py
@@ -94,7 +94,7 @@
     assert context.quarantine.admit(REQUEST, 191.0)
     context.quarantine.note_served(REQUEST, 192.0)
     assert all(context.quarantine.admit(REQUEST, 192.0) for _ in range(3))
-    assert not context.quarantine.held
+    assert not context.quarantine.quarantined
 
 
 @then('lines tell "{kinds}"')
@@ -233,7 +233,7 @@
         group.lose_at(vm, f"s-{vm}")
         group.now += 0.2
     group.play(0.4)
-    unread = group.news[0].collect_held(group.now, 6)
+    unread = group.news[0].collect_quarantined(group.now, 6)
     group.quarantines[4].note_served(REQUEST, group.now + 0.1)
     group.play(late)
     group.news[stopped].apply(unread, group.now)
@@ -265,7 +265,7 @@
     kept = quarantine.list_records(range(1, 20_000))
     assert count == MAX_RECORDS == len(kept) + 1
     assert min(kept) > 1
-    assert quarantine.held == {REQUEST}
+    assert quarantine.quarantined == {REQUEST}
 
 
 @then("a message without suspects is read as one that refuses none")
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -307,7 +307,7 @@
                 connection.check_timeouts(now)
             context.pool.sweep(now)
             self.tables.remove_missing(now)
-            context.quarantine.forget(now)
+            context.quarantine.evict_expired(now)
             note_quarantine(context, now)
             notices.note(now)
             context.live_vms = 1 + len(self.tables.members.list_live(now))
--- a/src/ramppin/gateway/process/operations.py
+++ b/src/ramppin/gateway/process/operations.py
@@ -119,7 +119,7 @@
     def _list_suspects(self, now: float) -> list[dict[str, object]]:
         quarantine = self._context.quarantine
         found = [(f, record) for f, record in quarantine if record.ends]
-        found.sort(key=lambda item: (not item[1].is_held, -item[1].last_end_at))
+        found.sort(key=lambda item: (not item[1].is_quarantined, -item[1].last_end_at))
         return [
             {
                 "fingerprint": show_fingerprint(fingerprint),
@@ -139,7 +139,7 @@
         metrics.version.set(context.version)
         metrics.evacuated_domains.set(len(context.directory.evacuations))
         metrics.homes.set(self._count_homes())
-        metrics.quarantined.set(len(context.quarantine.held))
+        metrics.quarantined.set(len(context.quarantine.quarantined))
         metrics.connections_opened.set(context.pool.opened)
         for table in self._tables:
             name = table.replica.name
--- a/src/ramppin/gateway/process/quarantine/gossip.py
+++ b/src/ramppin/gateway/process/quarantine/gossip.py
@@ -17,7 +17,7 @@
 from ramppin.gateway.process.quarantine.quarantine import Quarantine
 from ramppin.gateway.process.quarantine.record import CrashRecord, ServerEnd
 
-TELLINGS = 4
+BROADCASTS = 4
 """Messages in which something new is told: where 3 of 5 datagrams get lost 0.87 of the
 VMs hear it at first hand (1 - 0.6**4)."""
 
@@ -28,7 +28,7 @@
 MESSAGES_PER_REPLY = 4
 """Messages with requests that are refused, to a VM that refuses others."""
 
-REPLY_AGAIN_S = 0.5
+MIN_REPLY_PERIOD_S = 0.5
 """Seconds between two such replies to one VM."""
 
 REPLIES_PER_S = 40.0
@@ -53,9 +53,9 @@
     ) -> None:
         self._quarantine = quarantine
         self._generator = generator or random.Random()
-        self._tellings: dict[int, int] = {}
+        self._broadcasts_left: dict[int, int] = {}
         self._replied_at: dict[str, float] = {}
-        self._reply_at = float("-inf")
+        self._next_reply_at = float("-inf")
 
     def watch(self, notify_pending: Callable[[], None]) -> None:
         """Have a function called when there is something to tell."""
@@ -78,27 +78,27 @@
             now: the loop's time.
         """
         for fingerprint in self._quarantine.pop_pending():
-            self._tellings[fingerprint] = TELLINGS
+            self._broadcasts_left[fingerprint] = BROADCASTS
         # What was told least often first.
-        order = sorted(self._tellings, key=lambda f: -self._tellings[f])
+        order = sorted(self._broadcasts_left, key=lambda f: -self._broadcasts_left[f])
         chosen = order[:SUSPECTS_PER_MESSAGE]
         for fingerprint in chosen:
-            self._tellings[fingerprint] -= 1
-            if self._tellings[fingerprint] == 0:
-                del self._tellings[fingerprint]
+            self._broadcasts_left[fingerprint] -= 1
+            if self._broadcasts_left[fingerprint] == 0:
+                del self._broadcasts_left[fingerprint]
         return self._build(chosen, now)
 
-    def collect_held(self, now: float, limit: int) -> list[SuspectHint]:
+    def collect_quarantined(self, now: float, limit: int) -> list[SuspectHint]:
         """Return requests that are refused, some of them if there are too many.
 
         Args:
             now: the loop's time.
             limit: how many at most.
         """
-        held = sorted(self._quarantine.held)
-        if len(held) > limit:
-            held = self._generator.sample(held, limit)
-        return self._build(held, now)
+        quarantined = sorted(self._quarantine.quarantined)
+        if len(quarantined) > limit:
+            quarantined = self._generator.sample(quarantined, limit)
+        return self._build(quarantined, now)
 
     def reply(self, host: str, digest: int, now: float) -> list[list[SuspectHint]]:
         """Return the messages for a VM that refuses other requests than this one.
@@ -110,13 +110,13 @@
         """
         if digest == self.digest:
             return []
-        if now - self._replied_at.get(host, float("-inf")) < REPLY_AGAIN_S:
+        if now - self._replied_at.get(host, float("-inf")) < MIN_REPLY_PERIOD_S:
             return []
-        if now < self._reply_at:
+        if now < self._next_reply_at:
             return []
         self._replied_at[host] = now
-        self._reply_at = now + 1 / REPLIES_PER_S
-        hints = self.collect_held(now, MESSAGES_PER_REPLY * SUSPECTS_PER_MESSAGE)
+        self._next_reply_at = now + 1 / REPLIES_PER_S
+        hints = self.collect_quarantined(now, MESSAGES_PER_REPLY * SUSPECTS_PER_MESSAGE)
         size = SUSPECTS_PER_MESSAGE
         # A VM that refuses nothing answers too: the other then tells what it knows.
         return [hints[at : at + size] for at in range(0, max(1, len(hints)), size)]
@@ -173,7 +173,7 @@
         dict.fromkeys(hint.cleared),
         was_served=hint.was_served,
         tried_at=_find_moment(hint.tried_age_ms, now),
-        told_count=hint.count,
+        peer_end_count=hint.count,
     )
 
 
--- a/src/ramppin/gateway/process/quarantine/quarantine.py
+++ b/src/ramppin/gateway/process/quarantine/quarantine.py
@@ -20,11 +20,11 @@
     ServerEnd,
 )
 
-LOSS_KEPT_S = 5.0
+LOSS_RETENTION_S = 5.0
 """Seconds after a lost connection within which its server's end must show: its entry
 lapses after 1.5 s on the platform and is read 1.8 s later at most."""
 
-RECORD_KEPT_S = 3_600.0
+RECORD_RETENTION_S = 3_600.0
 """Seconds after which a request of which nothing new is known is forgotten: above the
 longest time for which one is refused."""
 
@@ -81,20 +81,20 @@
         self._records: OrderedDict[int, CrashRecord] = OrderedDict()
         self._losses: dict[str, dict[int, ServerEnd]] = {}
         self._served: OrderedDict[int, None] = OrderedDict()
-        self._held: set[int] = set()
+        self._quarantined: set[int] = set()
         self._pending: set[int] = set()
         self._changes: list[QuarantineChange] = []
 
     @property
-    def held(self) -> frozenset[int]:
+    def quarantined(self) -> frozenset[int]:
         """Fingerprints of the requests that are refused, or may run on trial only."""
-        return frozenset(self._held)
+        return frozenset(self._quarantined)
 
     @property
     def digest(self) -> int:
         """One number for all of :attr:`held`; VMs that hold the same have the same."""
         digest = 0
-        for fingerprint in self._held:
+        for fingerprint in self._quarantined:
             digest ^= fingerprint
         return digest
 
@@ -153,7 +153,7 @@
             fingerprint: the request's.
             now: the loop's time.
         """
-        if fingerprint not in self._held:
+        if fingerprint not in self._quarantined:
             return True
         record = self._records[fingerprint]
         if record.measure_remaining_refusal_s(now) > 0:
@@ -177,7 +177,7 @@
         """
         record = self._records.get(fingerprint)
         if fingerprint in self._served or (record and record.was_served):
-            return fingerprint in self._held
+            return fingerprint in self._quarantined
         servers = self._list_servers(fingerprint)
         return len(servers) >= MIN_ENDS or not servers <= set(own)
 
@@ -225,33 +225,37 @@
         """Whether something is known that other VMs were not told."""
         return bool(self._pending)
 
-    def merge(self, fingerprint: int, told: CrashRecord, now: float) -> bool:
+    def merge(self, fingerprint: int, peer_record: CrashRecord, now: float) -> bool:
         """Take what another VM knows of a request.
 
         Args:
             fingerprint: the request's.
-            told: what it knows, in times of this VM's loop.
+            peer_record: what it knows, in times of this VM's loop.
             now: the loop's time.
 
         Returns:
             Whether the other counts an end that no longer counts.
         """
-        if fingerprint not in self._records and not (told.ends or told.cleared):
+        if fingerprint not in self._records and not (
+            peer_record.ends or peer_record.cleared
+        ):
             return False
         record = self._find_or_add(fingerprint)
         record.changed_at = now
-        record.was_served |= told.was_served
+        record.was_served |= peer_record.was_served
         known = tuple(record.ends.values())
-        record.clear(told.cleared)
+        record.clear(peer_record.cleared)
         self._release_if_due(fingerprint, record, known)
-        record.tried_at = max(record.tried_at, told.tried_at)
-        for end in told.ends.values():
+        record.tried_at = max(record.tried_at, peer_record.tried_at)
+        for end in peer_record.ends.values():
             if record.note_end(end):
                 self.note_server_ended(end.server)
-        if told.ends.keys() <= record.ends.keys():
-            record.told_count = max(record.told_count, told.told_count)
-        self._hold_if_due(fingerprint, record)
-        return bool(told.ends.keys() & record.cleared.keys())
+        if peer_record.ends.keys() <= record.ends.keys():
+            record.peer_end_count = max(
+                record.peer_end_count, peer_record.peer_end_count
+            )
+        self._quarantine_if_due(fingerprint, record)
+        return bool(peer_record.ends.keys() & record.cleared.keys())
 
     # what follows
 
@@ -260,15 +264,15 @@
         changes, self._changes = self._changes, []
         return changes
 
-    def forget(self, now: float) -> None:
+    def evict_expired(self, now: float) -> None:
         """Forget what is too old to count."""
         for server, losses in list(self._losses.items()):
-            if all(now - loss.ended_at > LOSS_KEPT_S for loss in losses.values()):
+            if all(now - loss.ended_at > LOSS_RETENTION_S for loss in losses.values()):
                 del self._losses[server]
         old = [
             fingerprint
             for fingerprint, record in self._records.items()
-            if now - record.changed_at > RECORD_KEPT_S
+            if now - record.changed_at > RECORD_RETENTION_S
         ]
         for fingerprint in old:
             self._remove(fingerprint)
@@ -282,7 +286,7 @@
         record.changed_at = max(record.changed_at, end.ended_at)
         if record.note_end(end):
             self._mark_pending(fingerprint)
-            self._hold_if_due(fingerprint, record)
+            self._quarantine_if_due(fingerprint, record)
 
     def _apply_served(self, fingerprint: int, record: CrashRecord, at: float) -> None:
         ends = tuple(record.ends.values())
@@ -301,15 +305,15 @@
             record: what is known of it now.
             ends: that counted before.
         """
-        if fingerprint in self._held and not record.is_held:
-            self._held.discard(fingerprint)
+        if fingerprint in self._quarantined and not record.is_quarantined:
+            self._quarantined.discard(fingerprint)
             change = QuarantineChange(ChangeKind.CLEARED, fingerprint, ends)
             self._changes.append(change)
 
-    def _hold_if_due(self, fingerprint: int, record: CrashRecord) -> None:
-        if fingerprint in self._held or not record.is_held:
+    def _quarantine_if_due(self, fingerprint: int, record: CrashRecord) -> None:
+        if fingerprint in self._quarantined or not record.is_quarantined:
             return
-        self._held.add(fingerprint)
+        self._quarantined.add(fingerprint)
         self._note_change(ChangeKind.QUARANTINED, fingerprint, record)
 
     def _mark_pending(self, fingerprint: int) -> None:
@@ -336,12 +340,12 @@
     def _add(self, fingerprint: int) -> CrashRecord:
         """Add a record; forget the oldest that holds nobody back, if there are many."""
         if len(self._records) >= MAX_RECORDS:
-            free = (f for f in self._records if f not in self._held)
+            free = (f for f in self._records if f not in self._quarantined)
             self._remove(next(free, next(iter(self._records))))
         record = self._records[fingerprint] = CrashRecord()
         return record
 
     def _remove(self, fingerprint: int) -> None:
         del self._records[fingerprint]
-        self._held.discard(fingerprint)
+        self._quarantined.discard(fingerprint)
         self._pending.discard(fingerprint)
--- a/src/ramppin/gateway/process/quarantine/record.py
+++ b/src/ramppin/gateway/process/quarantine/record.py
@@ -29,7 +29,7 @@
 MAX_DOUBLINGS = 5
 """Each end more doubles the time for which a request is refused, to 32 minutes."""
 
-MOST_ENDS = MIN_ENDS_SERVED + MAX_DOUBLINGS
+MAX_ENDS = MIN_ENDS_SERVED + MAX_DOUBLINGS
 """Ends that are kept of one request: all that count."""
 
 OVERLAP_S = 0.1
@@ -64,7 +64,7 @@
         served_at: the loop's time of the last good run.
         was_served: whether it is known to have run well before.
         tried_at: the loop's time at which a copy was last let through on trial.
-        told_count: ends that another VM counted.
+        peer_end_count: ends that another VM counted.
         changed_at: the loop's time at which something was last learnt.
 
     .. versionadded:: 0.2
@@ -75,7 +75,7 @@
     served_at: float = float("-inf")
     was_served: bool = False
     tried_at: float = float("-inf")
-    told_count: int = 0
+    peer_end_count: int = 0
     changed_at: float = float("-inf")
 
     @property
@@ -92,7 +92,7 @@
             self._clear(end.server)
             return False
         self.ends[end.server] = end
-        if len(self.ends) > MOST_ENDS:
+        if len(self.ends) > MAX_ENDS:
             oldest = min(self.ends.values(), key=lambda known: known.ended_at)
             del self.ends[oldest.server]
         return True
@@ -113,12 +113,12 @@
             self.ends.pop(server, None)
             self._clear(server)
         if not self.ends:
-            self.told_count = 0
+            self.peer_end_count = 0
 
     def _clear(self, server: str) -> None:
         self.cleared.pop(server, None)
         self.cleared[server] = None
-        if len(self.cleared) > MOST_ENDS:
+        if len(self.cleared) > MAX_ENDS:
             del self.cleared[next(iter(self.cleared))]
 
     def count_ends(self) -> int:
@@ -133,7 +133,7 @@
             if end.sent_at >= last_end_at - OVERLAP_S:
                 count += 1
                 last_end_at = end.ended_at
-        return max(count, self.told_count)
+        return max(count, self.peer_end_count)
 
     @property
     def min_ends(self) -> int:
@@ -141,7 +141,7 @@
         return MIN_ENDS_SERVED if self.was_served else MIN_ENDS
 
     @property
-    def is_held(self) -> bool:
+    def is_quarantined(self) -> bool:
         """Whether the request is refused, or may run on trial only."""
         return self.count_ends() >= self.min_ends
 
--- a/src/ramppin/gateway/process/routing/homesnapshot.py
+++ b/src/ramppin/gateway/process/routing/homesnapshot.py
@@ -167,7 +167,7 @@
             )
             for announcement in self._homes.list_newest(now, MAX_SNAPSHOT_HOMES)
         ]
-        suspects = self._suspects.collect_held(now, MAX_SNAPSHOT_SUSPECTS)
+        suspects = self._suspects.collect_quarantined(now, MAX_SNAPSHOT_SUSPECTS)
         value = msgspec.msgpack.encode(HomeSnapshot(self._vm, homes, suspects))
         try:
             await self._log.append(SNAPSHOT_KEY, value)
