--- a/features/steps/server_word_fleet_steps.py
+++ b/features/steps/server_word_fleet_steps.py
@@ -42,7 +42,7 @@
 def collect(vm: Vm, now: float) -> list[LeavingHint]:
     """Return what a VM tells in a message of this moment, as its hints are built."""
     hints = vm.news.collect(now)
-    return hints or vm.news.collect_again(now, near=True)
+    return hints or vm.news.collect_rebroadcast(now, near=True)
 
 
 @given('VMs "{vms}" that know the servers "{servers}"')
--- a/features/steps/server_word_steps.py
+++ b/features/steps/server_word_steps.py
@@ -13,7 +13,7 @@
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.gate import ServerGate
 from ramppin.gateway.process.routing.incarnation import StartVerdict, judge_start
-from ramppin.gateway.process.routing.noticeregistry import KEPT_STARTS
+from ramppin.gateway.process.routing.noticeregistry import MAX_UNLISTED
 from ramppin.gateway.process.routing.serverstate import BackendServer
 from ramppin.gateway.request.retry import Progress, judge_try
 from ramppin.gateway.request.retryafter import choose_retry_after_s
@@ -112,7 +112,7 @@
         directory.notices.note_leaving(f"i-{number}", NoticeSource.ANSWER, 1.0)
         directory.mark_missing(f"i-{number}")
         directory.remove_missing(1.0)
-    assert len(directory.notices) == KEPT_STARTS
+    assert len(directory.notices) == MAX_UNLISTED
     directory.put(BackendServer(f"i-{count - 1}", "plain", "127.0.0.1", 1))
     assert not directory.is_open(f"i-{count - 1}")
 
--- a/src/ramppin/gateway/process/membership/servernotices.py
+++ b/src/ramppin/gateway/process/membership/servernotices.py
@@ -26,11 +26,11 @@
 
     Attributes:
         source: who brought it.
-        heard_at: the loop's time at which this VM heard it.
+        received_at: the loop's time at which this VM heard it.
     """
 
     source: NoticeSource
-    heard_at: float
+    received_at: float
 
 
 @dataclass(slots=True)
@@ -40,12 +40,12 @@
     Attributes:
         since: the loop's time at which it first asked for this rest.
         until: the loop's time at which the rest ends.
-        asked: how often it asked for it.
+        request_count: how often it asked for it.
     """
 
     since: float
     until: float
-    asked: int = 1
+    request_count: int = 1
 
 
 class ServerNotices:
@@ -54,7 +54,7 @@
     Attributes:
         leaving: its word that it leaves, which is never taken back; None before.
         backoff: the newest rest that it asked for; None before the first.
-        heard_ms: Unix time in milliseconds of its newest word, to be compared with
+        received_ms: Unix time in milliseconds of its newest word, to be compared with
             starts.
 
     .. versionadded:: 0.3
@@ -63,7 +63,7 @@
     def __init__(self) -> None:
         self.leaving: LeavingNotice | None = None
         self.backoff: BackoffNotice | None = None
-        self.heard_ms = 0
+        self.received_ms = 0
 
     @property
     def is_worth_keeping(self) -> bool:
@@ -98,13 +98,13 @@
             self.backoff = BackoffNotice(now, until)
             return True
         self.backoff.until = max(self.backoff.until, until)
-        self.backoff.asked += 1
+        self.backoff.request_count += 1
         return False
 
-    def may_be_of(self, started_ms: int) -> bool:
+    def may_belong_to(self, started_ms: int) -> bool:
         """Return whether a start can have said it: a later one can't.
 
         Args:
             started_ms: Unix time of the start in milliseconds.
         """
-        return started_ms <= self.heard_ms
+        return started_ms <= self.received_ms
--- a/src/ramppin/gateway/process/reporting/noticelines.py
+++ b/src/ramppin/gateway/process/reporting/noticelines.py
@@ -43,11 +43,11 @@
     def _note_closed(self, change: NoticeChange, now: float) -> None:
         notices, server_id = change.notices, change.server_id
         leaving, backoff = notices.leaving, notices.backoff
-        source, heard_at, backoff_s = "answer", now, 0.0
+        source, received_at, backoff_s = "answer", now, 0.0
         if change.reason is ClosureReason.LEAVING and leaving is not None:
-            source, heard_at = leaving.source.value, leaving.heard_at
+            source, received_at = leaving.source.value, leaving.received_at
         elif backoff is not None:
-            heard_at, backoff_s = backoff.since, backoff.until - backoff.since
+            received_at, backoff_s = backoff.since, backoff.until - backoff.since
             if server_id in self._backoffs:
                 self._note_opened(server_id, self._backoffs[server_id])
             self._backoffs[server_id] = backoff
@@ -58,7 +58,7 @@
             service=self._find_service(server_id),
             word=change.reason.value,
             source=source,
-            age_s=round(now - heard_at, 2),
+            age_s=round(now - received_at, 2),
             rest_s=round(backoff_s, 2),
             version=self._context.version,
         )
@@ -76,7 +76,7 @@
             service=self._find_service(server_id),
             word=ClosureReason.RESTING.value,
             closed_s=round(backoff.until - backoff.since, 2),
-            rejections=backoff.asked,
+            rejections=backoff.request_count,
             version=self._context.version,
         )
 
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -223,7 +223,7 @@
                 hot,
                 suspects,
                 self._suspects.digest,
-                leaving or self._notices.collect_again(now, near=near),
+                leaving or self._notices.collect_rebroadcast(now, near=near),
                 backoffs,
             )
             self._send_to(hints, near, now)
--- a/src/ramppin/gateway/process/routing/noticegossip.py
+++ b/src/ramppin/gateway/process/routing/noticegossip.py
@@ -18,14 +18,14 @@
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.noticeregistry import MS_PER_S
 
-TELLINGS = 4
+BROADCASTS = 4
 """Messages in which a word is told that this VM heard itself: where 3 of 5 datagrams
 get lost 0.87 of the VMs hear it at first hand (1 - 0.6**4)."""
 
 SERVERS_PER_MESSAGE = 12
 """Servers in one message, 300 bytes: with the homes it is not split."""
 
-AGAIN_S = 1.0
+REBROADCAST_PERIOD_S = 1.0
 """Seconds after which all words are told again, with the next message that is sent: a
 heartbeat if nothing else is."""
 
@@ -41,8 +41,8 @@
 
     def __init__(self, directory: ServerDirectory) -> None:
         self._directory = directory
-        self._tellings: dict[str, int] = {}
-        self._told_all_at = dict.fromkeys((True, False), float("-inf"))
+        self._broadcasts_left: dict[str, int] = {}
+        self._rebroadcast_at = dict.fromkeys((True, False), float("-inf"))
 
     def watch(self, notify_pending: Callable[[], None]) -> None:
         """Have a function called when there is something to tell."""
@@ -56,7 +56,7 @@
     @property
     def has_pending(self) -> bool:
         """Whether something is still to be told for which a message is worth it."""
-        return self.is_urgent or bool(self._tellings)
+        return self.is_urgent or bool(self._broadcasts_left)
 
     def collect(self, now: float) -> list[LeavingHint]:
         """Return what this VM heard itself, to tell in the next message to all VMs.
@@ -65,25 +65,25 @@
             now: the loop's time.
         """
         for server_id in self._directory.notices.pop_pending_leaving():
-            self._tellings[server_id] = TELLINGS
-        chosen = list(self._tellings)[:SERVERS_PER_MESSAGE]
+            self._broadcasts_left[server_id] = BROADCASTS
+        chosen = list(self._broadcasts_left)[:SERVERS_PER_MESSAGE]
         for server_id in chosen:
-            self._tellings[server_id] -= 1
-            if self._tellings[server_id] == 0:
-                del self._tellings[server_id]
+            self._broadcasts_left[server_id] -= 1
+            if self._broadcasts_left[server_id] == 0:
+                del self._broadcasts_left[server_id]
         return self._describe(chosen, now)
 
-    def collect_again(self, now: float, *, near: bool) -> list[LeavingHint]:
+    def collect_rebroadcast(self, now: float, *, near: bool) -> list[LeavingHint]:
         """Return all that is known, for a message that is sent in any case.
 
         Args:
             now: the loop's time.
             near: whether it goes to the VMs of the own failure domain, or to others.
         """
-        if now - self._told_all_at[near] < AGAIN_S:
+        if now - self._rebroadcast_at[near] < REBROADCAST_PERIOD_S:
             return []
-        self._told_all_at[near] = now
-        return self._describe(self._list_standing(), now)
+        self._rebroadcast_at[near] = now
+        return self._describe(self._list_leaving(), now)
 
     def collect_backoffs(self, now: float) -> list[BackoffHint]:
         """Return the rests to tell in the next message to all VMs.
@@ -128,10 +128,10 @@
                 notices = self._directory.notices
                 notices.note_leaving(hint.server, NoticeSource.PEER, now, age_s)
 
-    def _list_standing(self) -> list[str]:
+    def _list_leaving(self) -> list[str]:
         """Return the servers whose words alone say that they leave, the newest ones."""
         found = [
-            (state.notices.leaving.heard_at, state.id)
+            (state.notices.leaving.received_at, state.id)
             for state in self._directory
             if state.notices.leaving is not None and not state.server.draining
         ]
@@ -141,7 +141,7 @@
     def _describe(self, server_ids: Sequence[str], now: float) -> list[LeavingHint]:
         found = ((s, self._directory.notices.find_leaving(s)) for s in server_ids)
         return [
-            LeavingHint(server_id, round((now - notice.heard_at) * MS_PER_S))
+            LeavingHint(server_id, round((now - notice.received_at) * MS_PER_S))
             for server_id, notice in found
             if notice is not None
         ]
--- a/src/ramppin/gateway/process/routing/noticeregistry.py
+++ b/src/ramppin/gateway/process/routing/noticeregistry.py
@@ -19,7 +19,7 @@
 )
 from ramppin.gateway.process.routing.closure import ClosureReason
 
-KEPT_STARTS = 2000
+MAX_UNLISTED = 2000
 """Starts without an entry whose words are kept, the newest ones: twice the servers of
 the largest fleet."""
 
@@ -57,7 +57,7 @@
     def __init__(self, read_time: Callable[[], float] = time.time) -> None:
         self._read_time = read_time
         self._listed: dict[str, ServerNotices] = {}
-        self._kept: OrderedDict[str, ServerNotices] = OrderedDict()
+        self._unlisted: OrderedDict[str, ServerNotices] = OrderedDict()
         self._changes: list[NoticeChange] = []
         self._pending_leaving: list[str] = []
         self._pending_backoffs: list[str] = []
@@ -78,12 +78,12 @@
             name: of the server, whichever its start.
             started_ms: Unix time of the start in milliseconds; None if it is not told.
         """
-        notices = self._kept.pop(server_id, None)
+        notices = self._unlisted.pop(server_id, None)
         if notices is None and started_ms is not None:
             # Known by an entry that did not tell its start, such as another writer's.
-            untold = self._kept.get(name)
-            if untold is not None and untold.may_be_of(started_ms):
-                notices = untold
+            unlisted = self._unlisted.get(name)
+            if unlisted is not None and unlisted.may_belong_to(started_ms):
+                notices = unlisted
         self._listed[server_id] = notices or ServerNotices()
         return self._listed[server_id]
 
@@ -91,11 +91,11 @@
         """Keep what a start has said, whose entry is gone."""
         notices = self._listed.pop(server_id, None)
         if notices is not None and notices.is_worth_keeping:
-            self._keep(server_id, notices)
+            self._retain(server_id, notices)
 
     def __len__(self) -> int:
         """Return for how many starts something is known or kept."""
-        return len(self._listed) + len(self._kept)
+        return len(self._listed) + len(self._unlisted)
 
     # what they say
 
@@ -110,7 +110,7 @@
             now: the loop's time.
             age_s: seconds since it was said.
         """
-        notices = self._hear(server_id, age_s)
+        notices = self._record_notice(server_id, age_s)
         if not notices.note_leaving(LeavingNotice(source, now - age_s)):
             return
         self._changes.append(NoticeChange(server_id, notices, ClosureReason.LEAVING))
@@ -126,7 +126,7 @@
             backoff_s: for how many seconds.
             now: the loop's time.
         """
-        notices = self._hear(server_id)
+        notices = self._record_notice(server_id)
         if notices.note_backoff(backoff_s, now):
             self._changes.append(
                 NoticeChange(server_id, notices, ClosureReason.RESTING)
@@ -151,21 +151,21 @@
 
     def find_leaving(self, server_id: str) -> LeavingNotice | None:
         """Return the word of a start that it leaves, or None."""
-        notices = self._listed.get(server_id) or self._kept.get(server_id)
+        notices = self._listed.get(server_id) or self._unlisted.get(server_id)
         return notices.leaving if notices is not None else None
 
-    def _hear(self, server_id: str, age_s: float = 0.0) -> ServerNotices:
+    def _record_notice(self, server_id: str, age_s: float = 0.0) -> ServerNotices:
         """Return what a start has said, to which something is added now."""
-        notices = self._listed.get(server_id) or self._kept.get(server_id)
+        notices = self._listed.get(server_id) or self._unlisted.get(server_id)
         if notices is None:
             notices = ServerNotices()
-            self._keep(server_id, notices)
-        said_ms = int((self._read_time() - age_s) * MS_PER_S)
-        notices.heard_ms = max(notices.heard_ms, said_ms)
+            self._retain(server_id, notices)
+        sent_ms = int((self._read_time() - age_s) * MS_PER_S)
+        notices.received_ms = max(notices.received_ms, sent_ms)
         return notices
 
-    def _keep(self, server_id: str, notices: ServerNotices) -> None:
-        self._kept[server_id] = notices
-        self._kept.move_to_end(server_id)
-        if len(self._kept) > KEPT_STARTS:
-            self._kept.popitem(last=False)
+    def _retain(self, server_id: str, notices: ServerNotices) -> None:
+        self._unlisted[server_id] = notices
+        self._unlisted.move_to_end(server_id)
+        if len(self._unlisted) > MAX_UNLISTED:
+            self._unlisted.popitem(last=False)
--- a/src/ramppin/gateway/request/servernotice.py
+++ b/src/ramppin/gateway/request/servernotice.py
@@ -65,10 +65,10 @@
     leaving = find_header(head.headers, names.leaving) == b"1"
     if head.status not in BACKOFF_STATUSES:
         return ServerNotice(leaving) if leaving else NO_NOTICE
-    told = [v.strip() for n, v in head.headers if n.lower() == b"retry-after"]
-    backoffs = [_parse_backoff_s(value, head.headers, wall_clock) for value in told]
+    values = [v.strip() for n, v in head.headers if n.lower() == b"retry-after"]
+    backoffs = [_parse_backoff_s(value, head.headers, wall_clock) for value in values]
     readable = [backoff_s for backoff_s in backoffs if backoff_s is not None]
-    unreadable = [v for v, s in zip(told, backoffs, strict=True) if s is None]
+    unreadable = [v for v, s in zip(values, backoffs, strict=True) if s is None]
     # Of several the longest: what a shorter one allows, the longer one forbids.
     backoff_s = min(MAX_BACKOFF_S, max(readable, default=0.0))
     return ServerNotice(leaving, backoff_s, unreadable[0] if unreadable else b"")
@@ -83,8 +83,8 @@
     until = _read_date(value)
     if until is None:
         return None
-    said_at = _read_date(find_header(headers, b"date") or b"")
-    return max(0.0, until - (wall_clock() if said_at is None else said_at))
+    sent_at = _read_date(find_header(headers, b"date") or b"")
+    return max(0.0, until - (wall_clock() if sent_at is None else sent_at))
 
 
 def _read_date(value: bytes) -> float | None:
