--- a/features/steps/platform_cold_steps.py
+++ b/features/steps/platform_cold_steps.py
@@ -92,10 +92,10 @@
         if word.startswith("@"):
             now += float(word[1:])
         elif word.startswith("?"):
-            coldness.suppose(float(word[1:]), now)
+            coldness.assume_cold(float(word[1:]), now)
         else:
-            coldness.note_told(float(word), now)
-    assert math.isclose(coldness.measure_left_s(now), left, abs_tol=1e-6)
+            coldness.apply_entry(float(word), now)
+    assert math.isclose(coldness.measure_remaining_s(now), left, abs_tol=1e-6)
     assert coldness.is_cold(now) == (left > 0)
 
 
@@ -117,7 +117,7 @@
         for name, load in zip(ORDER, loads.split(), strict=True)
     }
     for name in read_names(cold):
-        states[name].coldness.note_told(COLD_MS / 1000, NOW)
+        states[name].coldness.apply_entry(COLD_MS / 1000, NOW)
     homes = PrefixHomes(lambda server: True)
     if home != "none":
         homes.note_placed(PREFIX, by_name[home], NOW)
--- a/src/ramppin/gateway/process/membership/coldness.py
+++ b/src/ramppin/gateway/process/membership/coldness.py
@@ -27,24 +27,24 @@
         """Return whether the server is cold."""
         return now < self.until
 
-    def measure_left_s(self, now: float) -> float:
+    def measure_remaining_s(self, now: float) -> float:
         """Return for how many seconds the server is still cold."""
         return max(0.0, self.until - now)
 
-    def note_told(self, left_s: float, now: float) -> bool:
+    def apply_entry(self, remaining_s: float, now: float) -> bool:
         """Take what the server's newest entry tells; return whether it turned cold.
 
         Counted from when this VM reads it, so longer than it lasts, not shorter.
 
         Args:
-            left_s: seconds for which it is still cold.
+            remaining_s: seconds for which it is still cold.
             now: the loop's time.
         """
         was_cold = self.is_cold(now)
-        self.until = now + left_s if left_s > 0 else NEVER
-        return left_s > 0 and not was_cold
+        self.until = now + remaining_s if remaining_s > 0 else NEVER
+        return remaining_s > 0 and not was_cold
 
-    def suppose(self, cold_s: float, now: float) -> None:
+    def assume_cold(self, cold_s: float, now: float) -> None:
         """Take a server for cold until its entry tells otherwise, or a time is over.
 
         Args:
--- a/src/ramppin/gateway/process/membership/evidence.py
+++ b/src/ramppin/gateway/process/membership/evidence.py
@@ -23,7 +23,7 @@
 """Part of the requests that the fleet is likely to send a server that must fail: above
 what a network that loses answers costs each server, 0.02 to 0.1."""
 
-DOMAINS_THAT_COUNT = 2
+MIN_REPORTING_DOMAINS = 2
 """Other failure domains that must see a server fail before their word counts here."""
 
 MEAN_LIFE_S = HALF_LIFE_S / 0.6931
@@ -48,7 +48,7 @@
             domain: the VM's failure domain.
             now: the loop's time.
         """
-        self._fade(now)
+        self._decay(now)
         self._failures[domain] = self._failures.get(domain, 0.0) + count
 
     def is_bad(self, own_domain: str, requests_per_s: float, now: float) -> bool:
@@ -61,35 +61,35 @@
         """
         if not self._failures:
             return False
-        self._fade(now)
-        failures = self._weigh(own_domain)
+        self._decay(now)
+        failures = self._sum_credible(own_domain)
         expected = requests_per_s * MEAN_LIFE_S
         return failures >= MIN_FAILURES and failures >= FAILURE_SHARE * expected
 
-    def _weigh(self, own_domain: str) -> float:
+    def _sum_credible(self, own_domain: str) -> float:
         own = self._failures.get(own_domain, 0.0)
         others = [
             count for domain, count in self._failures.items() if domain != own_domain
         ]
-        seeing = sum(count >= 1.0 for count in others)
-        if seeing >= DOMAINS_THAT_COUNT or (own >= 1.0 and seeing):
+        reporting = sum(count >= 1.0 for count in others)
+        if reporting >= MIN_REPORTING_DOMAINS or (own >= 1.0 and reporting):
             return own + sum(others)
         return own
 
-    def _fade(self, now: float) -> None:
+    def _decay(self, now: float) -> None:
         """Let what was noted count less by its age."""
         if not self._failures:
             self._at = now
             return
         factor = 0.5 ** (max(0.0, now - self._at) / HALF_LIFE_S)
         self._at = max(self._at, now)
-        faded = {
+        decayed = {
             domain: count * factor
             for domain, count in self._failures.items()
-            if count * factor > FORGOTTEN
+            if count * factor > NEGLIGIBLE_FAILURES
         }
-        self._failures = faded
+        self._failures = decayed
 
 
-FORGOTTEN = 0.05
+NEGLIGIBLE_FAILURES = 0.05
 """Failures below which a failure domain's word is forgotten."""
--- a/src/ramppin/gateway/process/membership/health.py
+++ b/src/ramppin/gateway/process/membership/health.py
@@ -26,7 +26,7 @@
 FIRST_EJECTION_S = 0.5
 """Seconds of a first ejection; doubled each time until a request is answered."""
 
-LONGEST_EJECTION_S = 4.0
+MAX_EJECTION_S = 4.0
 """Seconds of the longest ejection."""
 
 BUSY_EJECTION_S = 0.15
@@ -137,4 +137,4 @@
 
     def _eject(self, now: float) -> None:
         self.ejected_until = now + self._ejection_s
-        self._ejection_s = min(LONGEST_EJECTION_S, self._ejection_s * 2)
+        self._ejection_s = min(MAX_EJECTION_S, self._ejection_s * 2)
--- a/src/ramppin/gateway/process/membership/members.py
+++ b/src/ramppin/gateway/process/membership/members.py
@@ -37,11 +37,11 @@
 off from here."""
 
 
-RECENT_S = 60.0
+RECENT_MEMBER_S = 60.0
 """Seconds for which a VM that falls silent counts where VMs share what is scarce: VMs
 that are cut off from each other must not each take the whole of it."""
 
-MAX_LOGGED = 200
+MAX_LOGGED_CHARS = 200
 """Characters of an entry's key, or of what is wrong with it, that are logged."""
 
 
@@ -106,8 +106,8 @@
             entry = _decode_entry(record.value)
         except (ValueError, RecursionError) as error:
             # What is known of the VM holds: it writes its entry once, at its start.
-            message = str(error)[:MAX_LOGGED]
-            peer = record.key[:MAX_LOGGED]
+            message = str(error)[:MAX_LOGGED_CHARS]
+            peer = record.key[:MAX_LOGGED_CHARS]
             LOG.warning("unreadable entry: %s", message, extra={"peer": peer})
             return False
         self._members[record.key] = Member(
@@ -194,7 +194,9 @@
 
     def list_recent(self, now: float) -> list[Member]:
         """Return the VMs that are live, or were a while ago."""
-        return [m for m in self._members.values() if now - m.last_seen_at <= RECENT_S]
+        return [
+            m for m in self._members.values() if now - m.last_seen_at <= RECENT_MEMBER_S
+        ]
 
     def list_last_seen_first(self) -> list[Member]:
         """Return all members, the one seen last first."""
--- a/src/ramppin/gateway/process/membership/shedding.py
+++ b/src/ramppin/gateway/process/membership/shedding.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-VMS_THAT_COUNT = 2
+MIN_REPORTING_VMS = 2
 """Other VMs that must have been asked for rest before a server is passed over here."""
 
 
@@ -35,7 +35,7 @@
         if not self._until:
             return False
         self._until = {vm: until for vm, until in self._until.items() if until > now}
-        return len(self._until) >= VMS_THAT_COUNT
+        return len(self._until) >= MIN_REPORTING_VMS
 
     def measure_backoff_s(self, now: float) -> float:
         """Return for how many seconds it is likely to turn this VM away."""
--- a/src/ramppin/gateway/process/operations.py
+++ b/src/ramppin/gateway/process/operations.py
@@ -109,7 +109,7 @@
             # The key's name is older than the code's word for it.
             "aside": state.health.is_suspect(now),
             "shedding_s": _shorten(state.shedding.measure_backoff_s(now)),
-            "cold_s": _shorten(state.coldness.measure_left_s(now)),
+            "cold_s": _shorten(state.coldness.measure_remaining_s(now)),
         }
 
     def clear(self, fingerprint: int, now: float) -> bool:
--- a/src/ramppin/gateway/process/recovery/recordapplier.py
+++ b/src/ramppin/gateway/process/recovery/recordapplier.py
@@ -112,7 +112,7 @@
         for state in self._context.directory.list_domain(domain):
             spec = table.services.get(state.server.service)
             if spec is not None and spec.cold_s:
-                state.coldness.suppose(spec.cold_s, now)
+                state.coldness.assume_cold(spec.cold_s, now)
 
     def apply_server(self, record: Record) -> None:
         """Take a backend server's entry, or the end of one."""
@@ -169,7 +169,7 @@
         """Take for how long a server is still cold."""
         context, server = self._context, state.server
         now = asyncio.get_running_loop().time()
-        if state.coldness.note_told(server.cold_s, now):
+        if state.coldness.apply_entry(server.cold_s, now):
             context.decisions.note(
                 "server_cold",
                 server=server.name,
