--- a/src/ramppin/gateway/process/membership/servernotices.py
+++ b/src/ramppin/gateway/process/membership/servernotices.py
@@ -1,7 +1,7 @@
-"""What one start of a server has said of itself in its answers.
+"""Notices that one incarnation of a backend server has sent in response headers.
 
-Its entry in the log tells the same, but later, and not while the log is away. Does no
-I/O.
+The server's entry in the log carries the same state, but arrives later, and not at all
+while the log is unavailable. No I/O.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 
 
 class NoticeSource(Enum):
-    """Who brought a server's word; the value stands in lines."""
+    """Where a notice came from; the value appears in decision lines."""
 
     ANSWER = "answer"
-    """An answer to a request of this VM."""
+    """A response to a request of this VM."""
 
     PEER = "peer"
-    """Another VM, which had such an answer or was told of one."""
+    """Another VM, which received the notice in a response or from a peer."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeavingNotice:
-    """A server's word that it takes nothing new.
+    """A server's notice that it accepts no new requests.
 
     Attributes:
-        source: who brought it.
-        received_at: the loop's time at which this VM heard it.
+        source: where the notice came from.
+        received_at: event-loop time at which a VM received it in a response.
     """
 
     source: NoticeSource
@@ -35,12 +35,12 @@
 
 @dataclass(slots=True)
 class BackoffNotice:
-    """A server's word that it wants nothing from this VM for a while.
+    """A server's request that this VM send nothing for some time.
 
     Attributes:
-        since: the loop's time at which it first asked for this rest.
-        until: the loop's time at which the rest ends.
-        request_count: how often it asked for it.
+        since: event-loop time of the first request for this back-off.
+        until: event-loop time at which the back-off ends.
+        request_count: number of responses that asked for it.
     """
 
     since: float
@@ -49,13 +49,13 @@
 
 
 class ServerNotices:
-    """What one start of a server has said.
+    """Notices of one incarnation of a server.
 
     Attributes:
-        leaving: its word that it leaves, which is never taken back; None before.
-        backoff: the newest rest that it asked for; None before the first.
-        received_ms: Unix time in milliseconds of its newest word, to be compared with
-            starts.
+        leaving: the notice that it is leaving, never withdrawn; None if there is none.
+        backoff: the newest back-off; None before the first.
+        received_ms: Unix time of the newest notice in milliseconds, to be compared
+            with start times of incarnations.
 
     .. versionadded:: 0.3
     """
@@ -67,31 +67,31 @@
 
     @property
     def is_worth_keeping(self) -> bool:
-        """Whether anything of it may still hold."""
+        """Whether any notice may still be in effect."""
         return self.leaving is not None or self.backoff is not None
 
     def find_backoff_end(self, now: float) -> float | None:
-        """Return the loop's time at which a rest ends that runs now, or None."""
+        """Return the event-loop time at which the current back-off ends, or None."""
         if self.backoff is None or now >= self.backoff.until:
             return None
         return self.backoff.until
 
     def note_leaving(self, notice: LeavingNotice) -> bool:
-        """Take the word that it leaves; return whether that is news."""
+        """Record that the server is leaving; return whether this is new."""
         if self.leaving is not None:
             return False
         self.leaving = notice
         return True
 
     def note_backoff(self, backoff_s: float, now: float) -> bool:
-        """Take the word that it wants rest; return whether none ran before.
+        """Record a back-off; return whether none was in effect before.
 
-        A shorter rest does not end a longer one: each was asked for by an answer of
-        its own.
+        A shorter back-off does not end a longer one, because each comes from a
+        separate response.
 
         Args:
-            backoff_s: seconds for which it wants nothing.
-            now: the loop's time.
+            backoff_s: duration of the back-off in seconds.
+            now: event-loop time.
         """
         until = now + backoff_s
         if self.backoff is None or now >= self.backoff.until:
@@ -102,9 +102,11 @@
         return False
 
     def may_belong_to(self, started_ms: int) -> bool:
-        """Return whether a start can have said it: a later one can't.
+        """Return whether an incarnation can have sent these notices.
+
+        An incarnation that started after the newest notice can't have sent it.
 
         Args:
-            started_ms: Unix time of the start in milliseconds.
+            started_ms: Unix time of the incarnation's start in milliseconds.
         """
         return started_ms <= self.received_ms
--- a/src/ramppin/gateway/process/reporting/noticelines.py
+++ b/src/ramppin/gateway/process/reporting/noticelines.py
@@ -1,4 +1,4 @@
-"""Lines and counts about servers that said in their answers what closes them."""
+"""Decision lines and counters for servers that are closed by their own notices."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 from ramppin.gateway.process.routing.noticeregistry import NoticeChange
 
 LONG_BACKOFF_S = 60.0
-"""Seconds of rest above which someone should look: the server is lost for as long."""
+"""Back-off in seconds above which a warning is logged: the server is unusable for that
+time, which an operator should examine."""
 
 LOG = logging.getLogger(__name__)
 
 
 class NoticeLines:
-    """Writes when a server's word closes it, and when that ends.
+    """Writes a line when a notice closes a server, and when a back-off ends.
 
     Args:
-        context: has the servers, and takes the lines.
+        context: provides the servers, metrics and the decision log.
 
     .. versionadded:: 0.3
     """
@@ -29,10 +30,10 @@
         self._backoffs: dict[str, BackoffNotice] = {}
 
     def note(self, now: float) -> None:
-        """Write what servers said since the last call, and which rests are over.
+        """Write lines for new notices and for back-offs that have ended.
 
         Args:
-            now: the loop's time.
+            now: event-loop time.
         """
         for change in self._context.directory.notices.pop_changes():
             self._note_closed(change, now)
@@ -64,7 +65,7 @@
         )
         if backoff_s > LONG_BACKOFF_S:
             LOG.warning(
-                "a server wants nothing for %.0f s",
+                "server asked for a back-off of %.0f s",
                 backoff_s,
                 extra={"peer": self._find_name(server_id), "step": "answer"},
             )
--- a/src/ramppin/gateway/process/routing/noticegossip.py
+++ b/src/ramppin/gateway/process/routing/noticegossip.py
@@ -1,12 +1,12 @@
-"""What VMs tell each other of servers that leave.
-
-While the log is away a server's word is in its answers alone, and in a large fleet each
-VM meets each server rarely. So a VM whose answer says that a server leaves tells all at
-once, and in some messages more, since datagrams get lost. Beside that what each VM
-sends anyway, a heartbeat at the latest, tells all such servers that it knows of, from
-whomever, for VMs that have started, were cut off, or were stopped: what is told once
-more changes nothing. Nothing is told of servers whose entries say the same, or are
-gone. No I/O.
+"""Exchange of server notices between VMs.
+
+While the log is unavailable, notices arrive only in response headers, and in a large
+fleet each VM rarely sends a request to a given server. A VM that receives a leaving
+notice therefore broadcasts it at once, and repeats it in a few more messages because
+datagrams get lost. In addition, messages that are sent anyway, at the latest a
+heartbeat, carry all known leaving servers whatever the source, for VMs that have
+started, were partitioned or were suspended; applying a notice again has no effect.
+Servers whose entries carry the same state, or are gone, are left out. No I/O.
 """
 
 from __future__ import annotations
@@ -19,22 +19,23 @@
 from ramppin.gateway.process.routing.noticeregistry import MS_PER_S
 
 BROADCASTS = 4
-"""Messages in which a word is told that this VM heard itself: where 3 of 5 datagrams
-get lost 0.87 of the VMs hear it at first hand (1 - 0.6**4)."""
+"""Messages that carry a notice which this VM received in a response. With 3 of 5
+datagrams lost, 0.87 of the VMs receive it directly (1 - 0.6**4)."""
 
 SERVERS_PER_MESSAGE = 12
-"""Servers in one message, 300 bytes: with the homes it is not split."""
+"""Maximum servers in one message: 300 bytes, so that a message with homes still fits
+one datagram."""
 
 REBROADCAST_PERIOD_S = 1.0
-"""Seconds after which all words are told again, with the next message that is sent: a
-heartbeat if nothing else is."""
+"""Seconds after which all leaving notices are sent again with the next message, at the
+latest a heartbeat."""
 
 
 class NoticeGossip:
-    """Collects the words to tell, and takes those that others tell.
+    """Collects notices to broadcast, and applies those received from peers.
 
     Args:
-        directory: the backend servers and their words.
+        directory: the backend servers and their notices.
 
     .. versionadded:: 0.3
     """
@@ -45,24 +46,26 @@
         self._rebroadcast_at = dict.fromkeys((True, False), float("-inf"))
 
     def watch(self, notify_pending: Callable[[], None]) -> None:
-        """Have a function called when there is something to tell."""
+        """Set the callback for notices that must be broadcast."""
         self._directory.notices.notify_pending = notify_pending
 
     @property
     def is_urgent(self) -> bool:
-        """Whether an answer told something that was not told yet."""
+        """Whether a notice from a response has not been broadcast at all."""
         return self._directory.notices.has_pending
 
     @property
     def has_pending(self) -> bool:
-        """Whether something is still to be told for which a message is worth it."""
+        """Whether pending notices justify a message of their own."""
         return self.is_urgent or bool(self._broadcasts_left)
 
     def collect(self, now: float) -> list[LeavingHint]:
-        """Return what this VM heard itself, to tell in the next message to all VMs.
+        """Return the leaving notices to broadcast in the next message.
+
+        Only notices that this VM received in responses are included.
 
         Args:
-            now: the loop's time.
+            now: event-loop time.
         """
         for server_id in self._directory.notices.pop_pending_leaving():
             self._broadcasts_left[server_id] = BROADCASTS
@@ -74,11 +77,11 @@
         return self._describe(chosen, now)
 
     def collect_rebroadcast(self, now: float, *, near: bool) -> list[LeavingHint]:
-        """Return all that is known, for a message that is sent in any case.
+        """Return all known leaving notices, for a message that is sent in any case.
 
         Args:
-            now: the loop's time.
-            near: whether it goes to the VMs of the own failure domain, or to others.
+            now: event-loop time.
+            near: whether the recipients are the VMs of this failure domain.
         """
         if now - self._rebroadcast_at[near] < REBROADCAST_PERIOD_S:
             return []
@@ -86,12 +89,12 @@
         return self._describe(self._list_leaving(), now)
 
     def collect_backoffs(self, now: float) -> list[BackoffHint]:
-        """Return the rests to tell in the next message to all VMs.
+        """Return the back-offs to broadcast in the next message.
 
-        Not those of servers that are passed over anyway, by what others told.
+        Leaves out servers that peers' reports already make less preferred.
 
         Args:
-            now: the loop's time.
+            now: event-loop time.
         """
         hints = []
         for server_id in self._directory.notices.pop_pending_backoffs():
@@ -103,12 +106,12 @@
         return hints[:SERVERS_PER_MESSAGE]
 
     def apply_backoffs(self, vm: str, hints: Sequence[BackoffHint], now: float) -> None:
-        """Take the rests that another VM was asked for.
+        """Apply back-offs reported by a peer.
 
         Args:
-            vm: that VM.
-            hints: servers that asked it.
-            now: the loop's time.
+            vm: name of the peer.
+            hints: servers that asked the peer for a back-off.
+            now: event-loop time.
         """
         for hint in hints:
             state = self._directory.find(hint.server)
@@ -116,11 +119,11 @@
                 state.shedding.note_peer_backoff(vm, now + hint.remaining_ms / MS_PER_S)
 
     def apply(self, hints: Sequence[LeavingHint], now: float) -> None:
-        """Take what another VM tells.
+        """Apply leaving notices reported by a peer.
 
         Args:
-            hints: servers that leave.
-            now: the loop's time.
+            hints: leaving servers.
+            now: event-loop time.
         """
         for hint in hints:
             if hint.age_ms >= 0:
@@ -129,7 +132,7 @@
                 notices.note_leaving(hint.server, NoticeSource.PEER, now, age_s)
 
     def _list_leaving(self) -> list[str]:
-        """Return the servers whose words alone say that they leave, the newest ones."""
+        """Return leaving servers whose entries don't show it, newest notices first."""
         found = [
             (state.notices.leaving.received_at, state.id)
             for state in self._directory
--- a/src/ramppin/gateway/process/routing/noticeregistry.py
+++ b/src/ramppin/gateway/process/routing/noticeregistry.py
@@ -1,8 +1,8 @@
-"""What all servers have said in their answers, for as long as those starts last.
+"""Notices of all backend servers, kept per incarnation.
 
-What one start has said is kept when its entry vanishes, since entries vanish around an
-outage of the log and come back, and is taken of starts whose entries are not known yet.
-A later start of the server has said nothing. Does no I/O.
+Notices are kept when the entry of an incarnation disappears, because entries disappear
+around an outage of the log and come back. They are also recorded for incarnations whose
+entries are not known yet. A new incarnation starts without notices. No I/O.
 """
 
 from __future__ import annotations
@@ -20,21 +20,20 @@
 from ramppin.gateway.process.routing.closure import ClosureReason
 
 MAX_UNLISTED = 2000
-"""Starts without an entry whose words are kept, the newest ones: twice the servers of
-the largest fleet."""
+"""Maximum number of incarnations without an entry whose notices are kept; the oldest
+are evicted first. Twice the number of servers in the largest fleet."""
 
 MS_PER_S = 1000
-"""Milliseconds of a second."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoticeChange:
-    """A start of a server that said something new.
+    """A new notice of a server.
 
     Attributes:
-        server_id: the start's id.
-        notices: what it has said so far.
-        reason: what the word closes it for.
+        server_id: id of the incarnation.
+        notices: all notices of the incarnation.
+        reason: why the notice closes the server.
     """
 
     server_id: str
@@ -43,13 +42,13 @@
 
 
 class NoticeRegistry:
-    """Words of all starts of servers.
+    """Notices of all incarnations of servers.
 
     Args:
-        read_time: returns the time of day in seconds.
+        read_time: returns Unix time in seconds.
 
     Attributes:
-        notify_pending: called when there is something to tell other VMs.
+        notify_pending: called when a notice must be sent to the other VMs.
 
     .. versionadded:: 0.3
     """
@@ -65,22 +64,23 @@
 
     @property
     def has_pending(self) -> bool:
-        """Whether an answer told something that other VMs were not told yet."""
+        """Whether a notice from a response has not been sent to the other VMs yet."""
         return bool(self._pending_leaving or self._pending_backoffs)
 
-    # servers come and go
+    # entries of servers
 
     def open(self, server_id: str, name: str, started_ms: int | None) -> ServerNotices:
-        """Return what a start has said whose entry has come, or come back.
+        """Return the notices of an incarnation whose entry was added or restored.
 
         Args:
-            server_id: of the start.
-            name: of the server, whichever its start.
-            started_ms: Unix time of the start in milliseconds; None if it is not told.
+            server_id: id of the incarnation.
+            name: name of the server, the same for all incarnations.
+            started_ms: Unix time of the start in milliseconds; None if unknown.
         """
         notices = self._unlisted.pop(server_id, None)
         if notices is None and started_ms is not None:
-            # Known by an entry that did not tell its start, such as another writer's.
+            # An earlier entry, such as another writer's, may have had no start time;
+            # its notices are stored under the server's name.
             unlisted = self._unlisted.get(name)
             if unlisted is not None and unlisted.may_belong_to(started_ms):
                 notices = unlisted
@@ -88,27 +88,27 @@
         return self._listed[server_id]
 
     def close(self, server_id: str) -> None:
-        """Keep what a start has said, whose entry is gone."""
+        """Retain the notices of an incarnation whose entry was removed."""
         notices = self._listed.pop(server_id, None)
         if notices is not None and notices.is_worth_keeping:
             self._retain(server_id, notices)
 
     def __len__(self) -> int:
-        """Return for how many starts something is known or kept."""
+        """Return the number of incarnations that are listed or retained."""
         return len(self._listed) + len(self._unlisted)
 
-    # what they say
+    # notices
 
     def note_leaving(
         self, server_id: str, source: NoticeSource, now: float, age_s: float = 0.0
     ) -> None:
-        """Take a server's word that it leaves, whether its entry is known or not.
+        """Record that a server is leaving, whether its entry is known or not.
 
         Args:
-            server_id: of the start that said so.
-            source: who brought it.
-            now: the loop's time.
-            age_s: seconds since it was said.
+            server_id: id of the incarnation.
+            source: where the notice came from.
+            now: event-loop time.
+            age_s: seconds since a VM received the notice in a response.
         """
         notices = self._record_notice(server_id, age_s)
         if not notices.note_leaving(LeavingNotice(source, now - age_s)):
@@ -119,12 +119,12 @@
             self.notify_pending()
 
     def note_backoff(self, server_id: str, backoff_s: float, now: float) -> None:
-        """Take a server's word that it wants nothing from this VM for a while.
+        """Record that a server asked this VM for a back-off.
 
         Args:
-            server_id: of the start that said so.
-            backoff_s: for how many seconds.
-            now: the loop's time.
+            server_id: id of the incarnation.
+            backoff_s: duration in seconds.
+            now: event-loop time.
         """
         notices = self._record_notice(server_id)
         if notices.note_backoff(backoff_s, now):
@@ -135,27 +135,27 @@
             self.notify_pending()
 
     def pop_changes(self) -> list[NoticeChange]:
-        """Return what servers said since the last call, where that is news."""
+        """Return and clear the notices that changed a server's state."""
         changes, self._changes = self._changes, []
         return changes
 
     def pop_pending_leaving(self) -> list[str]:
-        """Return the starts whose leaving an answer told since the last call."""
+        """Return and clear the ids whose leaving notices are not yet sent to peers."""
         pending, self._pending_leaving = self._pending_leaving, []
         return pending
 
     def pop_pending_backoffs(self) -> list[str]:
-        """Return the starts that asked for a rest since the last call."""
+        """Return and clear the ids whose back-offs are not yet sent to peers."""
         pending, self._pending_backoffs = self._pending_backoffs, []
         return pending
 
     def find_leaving(self, server_id: str) -> LeavingNotice | None:
-        """Return the word of a start that it leaves, or None."""
+        """Return the leaving notice of an incarnation, or None."""
         notices = self._listed.get(server_id) or self._unlisted.get(server_id)
         return notices.leaving if notices is not None else None
 
     def _record_notice(self, server_id: str, age_s: float = 0.0) -> ServerNotices:
-        """Return what a start has said, to which something is added now."""
+        """Return the notices of an incarnation, and update the time of the newest."""
         notices = self._listed.get(server_id) or self._unlisted.get(server_id)
         if notices is None:
             notices = ServerNotices()
--- a/src/ramppin/gateway/request/servernotice.py
+++ b/src/ramppin/gateway/request/servernotice.py
@@ -1,6 +1,7 @@
-"""What a server says of itself in an answer: that it leaves, that it wants rest.
+"""Parses a server's notice from response headers: leaving, or a back-off request.
 
-Read from the head, so that it is known while the rest of a stream still comes. No I/O.
+Only the response head is needed, so a notice takes effect while the body is still being
+streamed. No I/O.
 """
 
 from __future__ import annotations
@@ -16,27 +17,26 @@
 from ramppin.gateway.connection.upstream import AnswerHead
 
 MISDIRECTED = 421
-"""HTTP status of a server that is not the one addressed (RFC 9110, section
-15.5.20)."""
+"""HTTP status of a server other than the one addressed (RFC 9110, section 15.5.20)."""
 
 BACKOFF_STATUSES = frozenset({429, 503})
-"""HTTP statuses with which ``Retry-After`` asks for rest; with others it says when a
-resource has moved (RFC 9110, section 10.2.3)."""
+"""HTTP statuses with which ``Retry-After`` asks for a back-off. With others, such as a
+redirect, it has another meaning (RFC 9110, section 10.2.3)."""
 
 MAX_BACKOFF_S = 365 * 86_400.0
-"""Seconds of the longest rest: no process runs for longer."""
+"""Maximum back-off in seconds: no process runs longer than that."""
 
 _SECONDS = re.compile(rb"\d+(\.\d*)?|\.\d+")
 
 
 @dataclass(frozen=True, slots=True)
 class ServerNotice:
-    """What one answer says of its server.
+    """Notice of a server in one response.
 
     Attributes:
-        leaving: whether the server leaves, and takes nothing new.
-        backoff_s: seconds for which this VM must send nothing; 0 if it sets none.
-        unreadable: a time of rest that can't be read, or empty.
+        leaving: whether the server is leaving and accepts no new requests.
+        backoff_s: seconds for which this VM must send nothing; 0 for no back-off.
+        unreadable: a ``Retry-After`` value that can't be parsed, or empty.
 
     .. versionadded:: 0.3
     """
@@ -52,15 +52,15 @@
 def parse_notice(
     head: AnswerHead, names: HeaderNames, wall_clock: Callable[[], float] = time.time
 ) -> ServerNotice:
-    """Return what the head of an answer says of the server that was addressed.
+    """Return the notice of the addressed server from a response head.
 
     Args:
         head: status and headers.
         names: names of headers.
-        wall_clock: returns Unix time in seconds, for answers that do not tell theirs.
+        wall_clock: returns Unix time in seconds, for responses without ``Date``.
     """
     if head.status == MISDIRECTED:
-        # Another server has the address now: it speaks of itself.
+        # Another server has taken over the address; its headers describe itself.
         return NO_NOTICE
     leaving = find_header(head.headers, names.leaving) == b"1"
     if head.status not in BACKOFF_STATUSES:
@@ -69,7 +69,7 @@
     backoffs = [_parse_backoff_s(value, head.headers, wall_clock) for value in values]
     readable = [backoff_s for backoff_s in backoffs if backoff_s is not None]
     unreadable = [v for v, s in zip(values, backoffs, strict=True) if s is None]
-    # Of several the longest: what a shorter one allows, the longer one forbids.
+    # The longest value applies: each value forbids requests for its whole duration.
     backoff_s = min(MAX_BACKOFF_S, max(readable, default=0.0))
     return ServerNotice(leaving, backoff_s, unreadable[0] if unreadable else b"")
 
@@ -77,7 +77,7 @@
 def _parse_backoff_s(
     value: bytes, headers: Headers, wall_clock: Callable[[], float]
 ) -> float | None:
-    """Return seconds of rest, from a number or a date; None if it is neither."""
+    """Return the back-off in seconds, or None for neither a number nor a date."""
     if _SECONDS.fullmatch(value):
         return float(value)
     until = _read_date(value)
@@ -88,7 +88,7 @@
 
 
 def _read_date(value: bytes) -> float | None:
-    """Return the Unix time of a date as HTTP writes it, or None."""
+    """Return the Unix time of an HTTP date, or None if it can't be parsed."""
     try:
         date = parsedate_to_datetime(value.decode("latin-1"))
     except (ValueError, TypeError, OverflowError):
