--- a/src/ramppin/gateway/process/membership/__init__.py
+++ b/src/ramppin/gateway/process/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: the fleet's other VMs, and the health of backend servers."""
+"""Membership of the fleet: its other VMs, and the health of backend servers."""
--- a/src/ramppin/gateway/process/membership/coldness.py
+++ b/src/ramppin/gateway/process/membership/coldness.py
@@ -1,21 +1,21 @@
 """Whether a backend server is cold, and for how much longer.
 
-A server that has just started, or was cleared, takes few requests for a while. Its
-entry tells for how long; where that is likely but not known yet, it is supposed. Does
-no I/O.
+A server that has just started, or was cleared, accepts few requests for some time. Its
+entry states for how long. Where a cold server is likely but its entry has not been read
+yet, coldness is assumed. No I/O.
 """
 
 from __future__ import annotations
 
 NEVER = float("-inf")
-"""The loop's time of what has not happened."""
+"""Event-loop time of an event that has not happened."""
 
 
 class ServerColdness:
-    """What is known of one server's cold time.
+    """Cold period of one server.
 
     Attributes:
-        until: the loop's time at which it is warm.
+        until: event-loop time at which the cold period ends.
 
     .. versionadded:: 0.3
     """
@@ -28,27 +28,28 @@
         return now < self.until
 
     def measure_remaining_s(self, now: float) -> float:
-        """Return for how many seconds the server is still cold."""
+        """Return the remaining cold period in seconds."""
         return max(0.0, self.until - now)
 
     def apply_entry(self, remaining_s: float, now: float) -> bool:
-        """Take what the server's newest entry tells; return whether it turned cold.
+        """Apply the server's newest entry; return whether the server became cold.
 
-        Counted from when this VM reads it, so longer than it lasts, not shorter.
+        The period counts from when this VM reads the entry, so it is overestimated
+        rather than underestimated.
 
         Args:
-            remaining_s: seconds for which it is still cold.
-            now: the loop's time.
+            remaining_s: remaining cold period in seconds.
+            now: event-loop time.
         """
         was_cold = self.is_cold(now)
         self.until = now + remaining_s if remaining_s > 0 else NEVER
         return remaining_s > 0 and not was_cold
 
     def assume_cold(self, cold_s: float, now: float) -> None:
-        """Take a server for cold until its entry tells otherwise, or a time is over.
+        """Treat the server as cold until its entry is read or a period has passed.
 
         Args:
-            cold_s: seconds for which a server of its service is cold after a start.
-            now: the loop's time.
+            cold_s: cold period in seconds after a start, for servers of this service.
+            now: event-loop time.
         """
         self.until = max(self.until, now + cold_s)
--- a/src/ramppin/gateway/process/membership/evidence.py
+++ b/src/ramppin/gateway/process/membership/evidence.py
@@ -1,37 +1,37 @@
-"""What all VMs together saw of one backend server's failures.
+"""Failures of one backend server, as observed by all VMs.
 
-A VM among many meets each server rarely: by its own sight alone each would find a bad
-server out by three requests of its own. So VMs tell each other the failures that they
-saw, and each weighs them: a server that fails a large part of what the fleet is likely
-to send it is passed over. Own sight is told as well as kept, and what was told is never
-told on. No I/O.
+In a large fleet each VM rarely sends a request to a given server, and would need three
+requests of its own to find a failing one. So VMs report the failures that they observe
+to each other, and stop preferring a server that fails a large part of the requests the
+fleet is likely to send it. A VM counts and reports its own observations, but never
+forwards reports. No I/O.
 
-The word of one failure domain may only show that its own links are bad, so it counts
-there alone unless another domain sees the same.
+Failures reported by one failure domain may only show that its own links are bad, so
+they count within that domain alone unless another domain reports the same.
 """
 
 from __future__ import annotations
 
 HALF_LIFE_S = 2.0
-"""Seconds in which what was told counts half: a server that no one uses any more is
-tried again about that long after the last failure."""
+"""Half-life of a reported failure in seconds: an unused server is tried again about
+that long after its last failure."""
 
 MIN_FAILURES = 3.0
-"""Failures, each less by its age, from which a server may be passed over."""
+"""Decayed number of failures from which a server may be treated as failing."""
 
 FAILURE_SHARE = 0.3
-"""Part of the requests that the fleet is likely to send a server that must fail: above
-what a network that loses answers costs each server, 0.02 to 0.1."""
+"""Share of the requests the fleet is likely to send a server that must fail. A lossy
+network costs each server less than that, 0.02 to 0.1."""
 
 MIN_REPORTING_DOMAINS = 2
-"""Other failure domains that must see a server fail before their word counts here."""
+"""Other failure domains that must report failures before their reports count here."""
 
 MEAN_LIFE_S = HALF_LIFE_S / 0.6931
-"""Seconds for which a failure counts on average, from the half-life."""
+"""Mean lifetime of a failure in seconds, derived from the half-life."""
 
 
 class FleetEvidence:
-    """Failures of one backend server, as all VMs saw them.
+    """Failures of one backend server, as observed by all VMs.
 
     .. versionadded:: 0.2
     """
@@ -41,23 +41,24 @@
         self._at = float("-inf")
 
     def note_failures(self, count: float, domain: str, now: float) -> None:
-        """Take failures that a VM saw.
+        """Record failures observed by a VM.
 
         Args:
-            count: how many.
+            count: number of failures.
             domain: the VM's failure domain.
-            now: the loop's time.
+            now: event-loop time.
         """
         self._decay(now)
         self._failures[domain] = self._failures.get(domain, 0.0) + count
 
     def is_bad(self, own_domain: str, requests_per_s: float, now: float) -> bool:
-        """Return whether the server should be passed over.
+        """Return whether other servers should be preferred.
 
         Args:
             own_domain: this VM's failure domain.
-            requests_per_s: requests that the fleet is likely to send the server.
-            now: the loop's time.
+            requests_per_s: requests a second that the fleet is likely to send the
+                server.
+            now: event-loop time.
         """
         if not self._failures:
             return False
@@ -77,7 +78,7 @@
         return own
 
     def _decay(self, now: float) -> None:
-        """Let what was noted count less by its age."""
+        """Apply exponential decay to the recorded failures."""
         if not self._failures:
             self._at = now
             return
@@ -92,4 +93,4 @@
 
 
 NEGLIGIBLE_FAILURES = 0.05
-"""Failures below which a failure domain's word is forgotten."""
+"""Decayed number of failures below which a failure domain's entry is removed."""
--- a/src/ramppin/gateway/process/membership/health.py
+++ b/src/ramppin/gateway/process/membership/health.py
@@ -1,11 +1,10 @@
-"""Whether a backend server is healthy, by what its answers showed.
-
-No probes are sent: each has a price, and health answers may be false. A server
-with bad evidence is ejected for a while and comes back by itself; the next
-requests show whether it is healthy. A server that owes an answer and sends
-nothing is unresponsive until a byte comes. Either makes it suspect: others are
-preferred, and it is used if none is left.
+"""Passive health checking of a backend server, based on the outcomes of requests.
 
+No probes are sent: each has a cost, and health endpoints may report a wrong state. A
+server that fails too often is ejected for some time and then readmitted; the next
+requests show whether it is healthy. A server that owes a response and sends nothing is
+unresponsive until a byte arrives. Either state makes it suspect: other servers are
+preferred, and it is used only if none is left.
 """
 
 from __future__ import annotations
@@ -18,28 +17,29 @@
 """Weight of the newest outcome in the moving failure rate, from 0 to 1."""
 
 FAILURE_LIMIT = 0.45
-"""Failure rate above which a server is ejected: three failures in a row reach it."""
+"""Failure rate above which a server is ejected: three failures in a row exceed it."""
 
 RETURN_FAILURE_RATE = 0.3
-"""Failure rate with which a server comes back: one more failure ejects it again."""
+"""Failure rate after an ejection: one more failure ejects the server again."""
 
 FIRST_EJECTION_S = 0.5
-"""Seconds of a first ejection; doubled each time until a request is answered."""
+"""Duration of the first ejection in seconds; doubled each time until a request is
+answered."""
 
 MAX_EJECTION_S = 4.0
-"""Seconds of the longest ejection."""
+"""Maximum duration of an ejection in seconds."""
 
 BUSY_EJECTION_S = 0.15
-"""Seconds for which a server that rejected a request is ejected: it is full, not
-broken."""
+"""Ejection in seconds of a server that rejected a request: it is overloaded, not
+faulty."""
 
 UNRESPONSIVE_AFTER_S = 0.8
-"""Seconds without a byte, an answer being due, after which a server is unresponsive:
-a request that another server can still answer must not wait until its deadline."""
+"""Seconds without a byte, while a response is due, until a server is unresponsive. A
+request that another server can still answer must not wait until its deadline."""
 
 
 class Outcome(Enum):
-    """What one request showed about a backend server."""
+    """Outcome of one request to a backend server."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -48,10 +48,10 @@
 
 
 class ServerHealth:
-    """Evidence about one backend server.
+    """Health of one backend server.
 
     Args:
-        stall_detector: of this process; None where it never stalls.
+        stall_detector: detects stalls of this process; None if it never stalls.
 
     .. versionadded:: 0.2
     """
@@ -65,31 +65,31 @@
         self._pending_failures = 0
 
     def pop_pending_failures(self) -> int:
-        """Return the failures since the last call, to be told to other VMs."""
+        """Return and clear the number of failures not yet reported to other VMs."""
         count, self._pending_failures = self._pending_failures, 0
         return count
 
     def note_unanswered(self, now: float) -> None:
-        """Note a request that ended without an answer while the server was silent."""
+        """Record a request without a response, a failure if the server is silent."""
         if self.is_unresponsive(now):
             self._pending_failures += 1
 
     def note_sent(self, now: float) -> None:
-        """Note that a request left for the server."""
+        """Record that a request was sent to the server."""
         if self._awaited_since is None:
             self._awaited_since = now
 
     def note_received(self, now: float, *, awaited: bool) -> None:
-        """Note bytes from the server.
+        """Record that bytes arrived from the server.
 
         Args:
-            now: the loop's time.
-            awaited: whether further answers are due.
+            now: event-loop time.
+            awaited: whether more responses are due.
         """
         self._awaited_since = now if awaited else None
 
     def note_outcome(self, outcome: Outcome, now: float) -> None:
-        """Take what a request showed."""
+        """Record the outcome of a request."""
         if outcome is Outcome.REJECTED:
             self.ejected_until = max(self.ejected_until, now + BUSY_EJECTION_S)
             return
@@ -107,9 +107,9 @@
             self.failure_rate = RETURN_FAILURE_RATE
 
     def is_unresponsive(self, now: float) -> bool:
-        """Return whether answers are due and no connection has brought a byte.
+        """Return whether responses are due and no connection has received a byte.
 
-        Not known while this process is behind: the bytes may be there, not read yet.
+        False while this process is behind: bytes may have arrived but not been read.
         """
         since = self._awaited_since
         if since is None or now - since <= UNRESPONSIVE_AFTER_S:
@@ -117,11 +117,12 @@
         return not self._stall_detector.is_behind(now)
 
     def is_stalled(self, received_at: float, now: float) -> bool:
-        """Return whether one request waits for an unresponsive server.
+        """Return whether a request is waiting for an unresponsive server.
 
         Args:
-            received_at: the loop's time of the request's last byte, or of its start.
-            now: the loop's time.
+            received_at: event-loop time at which the request's last byte was received,
+                or at which the request started.
+            now: event-loop time.
         """
         return now - received_at > UNRESPONSIVE_AFTER_S and self.is_unresponsive(now)
 
@@ -130,7 +131,7 @@
         return now < self.ejected_until or self.is_unresponsive(now)
 
     def measure_remaining_ejection_s(self, now: float) -> float:
-        """Return for how long the server is likely to be passed over, in seconds."""
+        """Return for how many seconds other servers are likely to be preferred."""
         if self.is_unresponsive(now):
             return UNRESPONSIVE_AFTER_S
         return max(0.0, self.ejected_until - now)
--- a/src/ramppin/gateway/process/membership/members.py
+++ b/src/ramppin/gateway/process/membership/members.py
@@ -1,7 +1,7 @@
 """The other VMs of the fleet, and which of them are live.
 
-Each VM writes an entry into the shared log once, and sends heartbeats as datagrams.
-Owns what this VM knows of the others; rebuilt from the log after a start.
+Each VM writes one entry to the shared log, and sends heartbeats as datagrams. The
+member list is held in memory and rebuilt from the log after a start.
 """
 
 from __future__ import annotations
@@ -21,32 +21,32 @@
 LOG = logging.getLogger(__name__)
 
 ANNOUNCE_RETRY_S = 1.0
-"""Seconds before the own entry is written again after a failure."""
+"""Seconds before writing this VM's entry is retried after a failure."""
 
 NEAR_HEARTBEAT_S = 2.5
-"""Seconds between two heartbeats within a failure domain."""
+"""Interval between heartbeats within a failure domain, in seconds."""
 
 FAR_HEARTBEATS_PER_S = 40.0
-"""Heartbeats that one VM sends to other failure domains, whatever their size."""
+"""Maximum heartbeats a second that one VM sends to all other failure domains."""
 
 MISSED_HEARTBEATS = 2.4
-"""Heartbeats without which a VM no longer counts as live: two may be lost."""
+"""Heartbeat intervals without a message after which a VM is not live: two heartbeats
+may be lost."""
 
 RETRY_MISSING_VM_S = 5.0
-"""Seconds between two messages to a VM that does not count as live: it may only be cut
-off from here."""
-
+"""Interval in seconds between messages to a VM that is not live: it may be partitioned
+from this VM only."""
 
 RECENT_MEMBER_S = 60.0
-"""Seconds for which a VM that falls silent counts where VMs share what is scarce: VMs
-that are cut off from each other must not each take the whole of it."""
+"""Seconds for which a VM without messages still counts when VMs divide a scarce
+resource: partitioned VMs must not each use the whole of it."""
 
 MAX_LOGGED_CHARS = 200
-"""Characters of an entry's key, or of what is wrong with it, that are logged."""
+"""Maximum logged characters of an entry's key, or of the error in it."""
 
 
 class MemberRecord(msgspec.Struct):
-    """A VM's entry: where its peers reach it, and its capacity beside theirs."""
+    """Log entry of a VM: its address for peers, and its relative capacity."""
 
     host: str
     failure_domain: str = ""
@@ -60,12 +60,12 @@
     Attributes:
         vm: its name.
         host: its IP address.
-        last_seen_at: the loop's time of its last message, or of its entry.
-        failure_domain: where it stands.
-        capacity_weight: its capacity beside that of other VMs; the VMs with most
-            read the log for others.
-        tried_at: the loop's time at which it was last sent something.
-        log_up: whether the shared log served its last calls, by its own word.
+        last_seen_at: event-loop time of its last message, or of reading its entry.
+        failure_domain: the failure domain in which it runs.
+        capacity_weight: its relative capacity; the VMs with the most read the log on
+            behalf of others.
+        tried_at: event-loop time of the last message sent to it.
+        log_up: whether it reports that the shared log served its last calls.
     """
 
     vm: str
@@ -82,7 +82,7 @@
 
     Args:
         vm: this VM's name.
-        failure_domain: where it stands.
+        failure_domain: the failure domain in which this VM runs.
 
     .. versionadded:: 0.2
     """
@@ -96,7 +96,7 @@
         return len(self._members)
 
     def apply_record(self, record: Record, now: float) -> bool:
-        """Take a VM's entry; return whether it could be read."""
+        """Apply a VM's log entry; return whether it could be decoded."""
         if record.key == self._vm:
             return True
         if record.value is None:
@@ -105,7 +105,7 @@
         try:
             entry = _decode_entry(record.value)
         except (ValueError, RecursionError) as error:
-            # What is known of the VM holds: it writes its entry once, at its start.
+            # Keep the previous entry: a VM writes its entry only once, at its start.
             message = str(error)[:MAX_LOGGED_CHARS]
             peer = record.key[:MAX_LOGGED_CHARS]
             LOG.warning("unreadable entry: %s", message, extra={"peer": peer})
@@ -118,12 +118,12 @@
     def note_received(
         self, vm: str, host: str, now: float, *, log_up: bool = True
     ) -> bool:
-        """Note a message; return whether the sender is a known VM.
+        """Record a message; return whether the sender is a known VM.
 
         Args:
             vm: the sender's name.
-            host: the address from which the message came.
-            now: the loop's time.
+            host: source address of the message.
+            now: event-loop time.
             log_up: whether the log serves the sender.
         """
         member = self._members.get(vm)
@@ -134,41 +134,41 @@
         return True
 
     def note_stall(self, late_s: float, now: float) -> None:
-        """Note that this VM stalled: what others sent meanwhile is not read yet.
+        """Record a stall of this VM: messages sent meanwhile have not been read yet.
 
-        Without this a VM that wakes holds itself for the only live one, and takes all
-        of the fleet's retries and connections for its own.
+        Without this, a VM that resumes would count itself as the only live one, and
+        use the retries and connections of the whole fleet.
 
         Args:
-            late_s: seconds for which it stalled.
-            now: the loop's time.
+            late_s: duration of the stall in seconds.
+            now: event-loop time.
         """
         for member in self._members.values():
             member.last_seen_at = min(now, member.last_seen_at + late_s)
 
     def find_failure_domain(self, vm: str) -> str:
-        """Return where a known VM stands; empty if it is not known."""
+        """Return the failure domain of a VM; empty if the VM is unknown."""
         member = self._members.get(vm)
         return member.failure_domain if member else ""
 
     def choose_heartbeat_s(self, *, near: bool) -> float:
-        """Return the time between heartbeats to near VMs, or to far ones.
+        """Return the heartbeat interval for near or far VMs, in seconds.
 
-        Heartbeats to other failure domains become rarer as their VMs become many:
-        a VM's own messages stay bounded in a fleet of any size.
+        Near VMs are those of the same failure domain. The interval for far VMs grows
+        with their number, so that the messages of one VM are bounded in any fleet.
         """
         if near:
             return NEAR_HEARTBEAT_S
         return max(NEAR_HEARTBEAT_S, self.count(near=False) / FAR_HEARTBEATS_PER_S)
 
     def count(self, *, near: bool) -> int:
-        """Return how many VMs stand in this failure domain, or in others."""
+        """Return the number of VMs in this failure domain, or in others."""
         return sum(self._is_near(m) == near for m in self._members.values())
 
     def list_hosts(self, now: float, *, near: bool) -> list[str]:
-        """Return the addresses of near VMs, or of far ones, to send messages to.
+        """Return the addresses of near or far VMs to send messages to.
 
-        Those that are not live are tried only now and then.
+        VMs that are not live are included only once per ``RETRY_MISSING_VM_S``.
         """
         timeout_s = self._choose_timeout_s(near=near)
         chosen = []
@@ -193,13 +193,13 @@
         ]
 
     def list_recent(self, now: float) -> list[Member]:
-        """Return the VMs that are live, or were a while ago."""
+        """Return the VMs that are live, or were seen within ``RECENT_MEMBER_S``."""
         return [
             m for m in self._members.values() if now - m.last_seen_at <= RECENT_MEMBER_S
         ]
 
     def list_last_seen_first(self) -> list[Member]:
-        """Return all members, the one seen last first."""
+        """Return all members, the most recently seen first."""
         return sorted(
             self._members.values(), key=lambda m: m.last_seen_at, reverse=True
         )
@@ -212,11 +212,11 @@
 
 
 def _decode_entry(value: bytes) -> MemberRecord:
-    """Return a VM's entry.
+    """Decode a VM's entry.
 
     Raises:
-        ValueError: it can't be read, or names no address.
-        RecursionError: it is nested too deeply.
+        ValueError: the entry is malformed or has no valid address.
+        RecursionError: the entry is nested too deeply.
     """
     entry = msgspec.json.decode(value, type=MemberRecord)
     check_host(entry.host)
@@ -224,14 +224,16 @@
 
 
 async def announce(log: RecordLog, own: Member) -> None:
-    """Write this VM's entry into the shared log; try until it is there."""
+    """Write this VM's entry to the shared log, and retry until it succeeds."""
     entry = MemberRecord(own.host, own.failure_domain, own.capacity_weight)
     value = msgspec.json.encode(entry)
     while True:
         try:
             await log.append(own.vm, value)
         except LogUnavailableError as error:
-            LOG.warning("not announced: %s", error, extra={"step": "announce"})
+            LOG.warning(
+                "writing this VM's entry failed: %s", error, extra={"step": "announce"}
+            )
             await asyncio.sleep(ANNOUNCE_RETRY_S)
         else:
             return
