--- a/src/ramppin/gateway/process/quarantine/__init__.py
+++ b/src/ramppin/gateway/process/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which backend servers end: what is known of them, and what follows."""
+"""Quarantine of requests that crash backend servers."""
--- a/src/ramppin/gateway/process/quarantine/gossip.py
+++ b/src/ramppin/gateway/process/quarantine/gossip.py
@@ -1,11 +1,12 @@
-"""What VMs tell each other of requests under which servers end.
-
-A request comes again at any VM, so what one saw must be known to all within the time in
-which it comes again. Each VM tells what it saw at once and in some messages more, since
-datagrams get lost. Beside that each message carries one number for all requests that
-its sender refuses: where it differs, the two tell each other all of them, so a VM that
-has started, was cut off or was stopped knows them after one exchange. What was told is
-told on only in that exchange. No I/O.
+"""Exchange of quarantine state between VMs.
+
+A caller may send a request again to any VM, so the observations of one VM must reach
+all others before that. Each VM broadcasts its observations at once, and repeats them in
+a few more messages because datagrams get lost. In addition, each message carries a
+digest of the requests that its sender refuses. If the digests of two VMs differ, they
+exchange all of those requests, so that a VM which has started, was partitioned or was
+suspended is up to date after one exchange. Reports from peers are forwarded only in
+that exchange. No I/O.
 """
 
 from __future__ import annotations
@@ -18,32 +19,32 @@
 from ramppin.gateway.process.quarantine.record import CrashRecord, ServerEnd
 
 BROADCASTS = 4
-"""Messages in which something new is told: where 3 of 5 datagrams get lost 0.87 of the
-VMs hear it at first hand (1 - 0.6**4)."""
+"""Messages that carry a new observation. With 3 of 5 datagrams lost, 0.87 of the VMs
+receive it directly (1 - 0.6**4)."""
 
 SUSPECTS_PER_MESSAGE = 6
-"""Requests in one message, 110 bytes each with three ends: with the homes it is not
-split."""
+"""Maximum requests in one message, 110 bytes each with three terminations, so that a
+message with homes still fits one datagram."""
 
 MESSAGES_PER_REPLY = 4
-"""Messages with requests that are refused, to a VM that refuses others."""
+"""Maximum messages in the reply to a VM with a different digest."""
 
 MIN_REPLY_PERIOD_S = 0.5
-"""Seconds between two such replies to one VM."""
+"""Minimum seconds between two such replies to one VM."""
 
 REPLIES_PER_S = 40.0
-"""Such replies of one VM in a second, whatever the size of the fleet."""
+"""Maximum such replies a second of one VM, independent of the size of the fleet."""
 
 MS_PER_S = 1000
-"""Milliseconds of a second: hints carry ages in milliseconds, the rules use seconds."""
+"""Datagram entries carry ages in milliseconds, the quarantine uses seconds."""
 
 
 class QuarantineGossip:
-    """Collects what to tell of requests, and takes what others tell.
+    """Collects quarantine state to send, and applies what other VMs report.
 
     Args:
-        quarantine: what this VM knows.
-        generator: chooses what is told where not everything fits.
+        quarantine: quarantine of this VM.
+        generator: samples the requests to send if not all of them fit.
 
     .. versionadded:: 0.2
     """
@@ -58,28 +59,28 @@
         self._next_reply_at = float("-inf")
 
     def watch(self, notify_pending: Callable[[], None]) -> None:
-        """Have a function called when there is something to tell."""
+        """Set the callback for observations that must be broadcast."""
         self._quarantine.notify_pending = notify_pending
 
     @property
     def digest(self) -> int:
-        """The number that stands for all requests that this VM refuses."""
+        """Digest of the requests that this VM refuses."""
         return self._quarantine.digest
 
     @property
     def is_urgent(self) -> bool:
-        """Whether something is known that was not told yet."""
+        """Whether an observation has not been broadcast at all."""
         return self._quarantine.has_pending
 
     def collect(self, now: float) -> list[SuspectHint]:
-        """Return what to tell in the next message to all VMs.
+        """Return the observations to broadcast in the next message.
 
         Args:
-            now: the loop's time.
+            now: event-loop time.
         """
         for fingerprint in self._quarantine.pop_pending():
             self._broadcasts_left[fingerprint] = BROADCASTS
-        # What was told least often first.
+        # Least often broadcast first.
         order = sorted(self._broadcasts_left, key=lambda f: -self._broadcasts_left[f])
         chosen = order[:SUSPECTS_PER_MESSAGE]
         for fingerprint in chosen:
@@ -89,11 +90,11 @@
         return self._build(chosen, now)
 
     def collect_quarantined(self, now: float, limit: int) -> list[SuspectHint]:
-        """Return requests that are refused, some of them if there are too many.
+        """Return the quarantined requests, or a random sample if there are too many.
 
         Args:
-            now: the loop's time.
-            limit: how many at most.
+            now: event-loop time.
+            limit: maximum number of requests.
         """
         quarantined = sorted(self._quarantine.quarantined)
         if len(quarantined) > limit:
@@ -104,9 +105,9 @@
         """Return the messages for a VM that refuses other requests than this one.
 
         Args:
-            host: its address.
-            digest: the number that it told.
-            now: the loop's time.
+            host: address of the other VM.
+            digest: digest that it reported.
+            now: event-loop time.
         """
         if digest == self.digest:
             return []
@@ -118,18 +119,18 @@
         self._next_reply_at = now + 1 / REPLIES_PER_S
         hints = self.collect_quarantined(now, MESSAGES_PER_REPLY * SUSPECTS_PER_MESSAGE)
         size = SUSPECTS_PER_MESSAGE
-        # A VM that refuses nothing answers too: the other then tells what it knows.
+        # A VM that refuses nothing replies too, so that the other sends its requests.
         return [hints[at : at + size] for at in range(0, max(1, len(hints)), size)]
 
     def apply(self, hints: Sequence[SuspectHint], now: float) -> list[SuspectHint]:
-        """Take what another VM, or the snapshot, tells.
+        """Apply state reported by another VM or read from the snapshot.
 
         Args:
-            hints: what it tells.
-            now: the loop's time.
+            hints: the reported requests.
+            now: event-loop time.
 
         Returns:
-            What to answer: requests that ran well since, which the other missed.
+            The reply: requests that the sender counts outdated terminations for.
         """
         outdated = [
             hint.fingerprint
@@ -178,7 +179,7 @@
 
 
 def _measure_age_ms(moment: float, now: float) -> int | None:
-    """Return an age in milliseconds; None of what never happened."""
+    """Return an age in milliseconds, or None for an event that has not happened."""
     return None if moment == float("-inf") else round((now - moment) * MS_PER_S)
 
 
--- a/src/ramppin/gateway/process/quarantine/quarantine.py
+++ b/src/ramppin/gateway/process/quarantine/quarantine.py
@@ -1,10 +1,10 @@
-"""Which requests are refused since servers end under them.
+"""Decides which requests are refused because they crash backend servers.
 
-Owns what this VM knows of requests that were in flight when a server ended: what it saw
-itself, and what other VMs told. An end counts only once it is certain: a connection
-that was lost may have been lost by the network. Memory alone; what must outlast a loss
-of all VMs is kept with the snapshot of homes
-(:mod:`ramppin.gateway.process.routing.homesnapshot`). No I/O.
+Owns the crash history of requests that were in flight when a server terminated, as
+observed by this VM and as reported by others. A termination counts only once it is
+confirmed, because a connection may also be lost through a network fault. The state is
+held in memory; what must survive the loss of all VMs is stored with the snapshot of
+homes (:mod:`ramppin.gateway.process.routing.homesnapshot`). No I/O.
 """
 
 from __future__ import annotations
@@ -21,45 +21,44 @@
 )
 
 LOSS_RETENTION_S = 5.0
-"""Seconds after a lost connection within which its server's end must show: its entry
-lapses after 1.5 s on the platform and is read 1.8 s later at most."""
+"""Seconds after a lost connection within which the termination must be confirmed: the
+entry expires on the platform after 1.5 s and is read at most 1.8 s later."""
 
 RECORD_RETENTION_S = 3_600.0
-"""Seconds after which a request of which nothing new is known is forgotten: above the
-longest time for which one is refused."""
+"""Seconds after the last change until a record is evicted, longer than the longest
+refusal period."""
 
 MAX_RECORDS = 2_048
-"""Requests of which something is known: 0.5 kB with one end, 1.0 kB with three
-(tracemalloc, mean of 4,096). Those that are not refused go first, the oldest of them
-before the others."""
-
+"""Maximum number of records, which take 0.5 kB with one termination and 1.0 kB with
+three (tracemalloc, mean of 4,096). Records of requests that are not refused are evicted
+first, the oldest before the others."""
 
 MAX_SERVED = 2_048
-"""Fingerprints that are kept of requests that ran well, the newest: 0.35 MB
+"""Maximum number of fingerprints of successful requests, the newest: 0.35 MB
 (tracemalloc)."""
 
 
 class ChangeKind(Enum):
-    """What became of a request; the value is the event of its log line."""
+    """Change in a request's state; the value is the event of its decision line."""
 
     QUARANTINED = "quarantined"
-    """Servers ended under it as often as is borne: it is refused."""
+    """The number of terminations reached the limit: the request is refused."""
 
     TRIED = "quarantine_trial"
-    """One copy is let through, to show whether it still ends its server."""
+    """One copy is let through, to test whether it still crashes its server."""
 
     CLEARED = "quarantine_cleared"
-    """It ran well, or an operator says that it may run."""
+    """The request succeeded, or an operator cleared it."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuarantineChange:
-    """What became of a request, for operators.
+    """Change in a request's state, for operators.
 
     Attributes:
-        kind: what became of it.
-        fingerprint: the request's.
-        ends: that decided it, the first one first.
+        kind: the kind of change.
+        fingerprint: fingerprint of the request.
+        ends: the terminations that led to it, the oldest first.
     """
 
     kind: ChangeKind
@@ -68,10 +67,10 @@
 
 
 class Quarantine:
-    """Requests under which servers ended.
+    """Crash history of requests, and the decision which are refused.
 
     Attributes:
-        notify_pending: called when something is known that other VMs must be told.
+        notify_pending: called when an observation must be sent to other VMs.
 
     .. versionadded:: 0.2
     """
@@ -87,7 +86,7 @@
 
     @property
     def quarantined(self) -> frozenset[int]:
-        """Fingerprints of the requests that are refused, or may run on trial only."""
+        """Fingerprints of the requests that are refused, or may only run as a trial."""
         return frozenset(self._quarantined)
 
     @property
@@ -102,36 +101,36 @@
         return iter(self._records.items())
 
     def find(self, fingerprint: int) -> CrashRecord | None:
-        """Return what is known of a request, or None."""
+        """Return the record of a request, or None."""
         return self._records.get(fingerprint)
 
-    # what this VM sees
+    # observations of this VM
 
     def note_lost(
         self, fingerprint: int, server: str, sent_at: float, now: float
     ) -> None:
-        """Note that the connection to a server was lost under a request.
+        """Record that the connection to a server was lost during a request.
 
         Args:
-            fingerprint: the request's.
+            fingerprint: fingerprint of the request.
             server: id of the server's incarnation.
-            sent_at: the loop's time at which the request was sent there.
-            now: the loop's time.
+            sent_at: event-loop time at which the request was sent to it.
+            now: event-loop time.
         """
         loss = ServerEnd(server, sent_at, now)
         self._losses.setdefault(server, {})[fingerprint] = loss
 
     def note_server_ended(self, server: str) -> None:
-        """Note that it is certain that an incarnation of a server has ended."""
+        """Record that the termination of a server's incarnation is confirmed."""
         for fingerprint, loss in self._losses.pop(server, {}).items():
             self._apply_end(fingerprint, loss)
 
     def note_served(self, fingerprint: int, now: float) -> None:
-        """Note that a request ran well.
+        """Record that a request succeeded.
 
         Args:
-            fingerprint: the request's.
-            now: the loop's time.
+            fingerprint: fingerprint of the request.
+            now: event-loop time.
         """
         self._served[fingerprint] = None
         self._served.move_to_end(fingerprint)
@@ -146,12 +145,12 @@
     def admit(self, fingerprint: int, now: float) -> bool:
         """Return whether a request may be sent to a server.
 
-        Once its time is over one copy is let through, and the next only after as long
-        again: what became of the first is known to all VMs by then.
+        After the refusal period one copy is let through as a trial, and the next only
+        after another period: the result of the first has reached all VMs by then.
 
         Args:
-            fingerprint: the request's.
-            now: the loop's time.
+            fingerprint: fingerprint of the request.
+            now: event-loop time.
         """
         if fingerprint not in self._quarantined:
             return True
@@ -164,16 +163,16 @@
         return True
 
     def may_end_another(self, fingerprint: int, own: Collection[str] = ()) -> bool:
-        """Return whether sending a copy again is likely to end one server more.
+        """Return whether a retry of a copy is likely to crash another server.
 
-        Stricter than :meth:`admit`, since a copy that was lost is sent again at once:
-        a server that ended under another copy is enough, and a lost connection of which
-        it is not certain yet that its server ended counts as an end. A request that ran
-        well before is sent again as if it were harmless.
+        Stricter than :meth:`admit`, because a lost copy would be retried at once: a
+        server that terminated during another copy is enough, and a lost connection
+        counts before the termination is confirmed. A request that succeeded before is
+        retried unless it is quarantined.
 
         Args:
-            fingerprint: the request's.
-            own: servers to which this copy was lost.
+            fingerprint: fingerprint of the request.
+            own: servers to which the connection was lost during this copy.
         """
         record = self._records.get(fingerprint)
         if fingerprint in self._served or (record and record.was_served):
@@ -182,30 +181,30 @@
         return len(servers) >= MIN_ENDS or not servers <= set(own)
 
     def is_suspect(self, fingerprint: int) -> bool:
-        """Return whether a server ended, or may have, since a request last ran well."""
+        """Return whether a server may have terminated since the last successful run."""
         return bool(self._list_servers(fingerprint))
 
     def _list_servers(self, fingerprint: int) -> set[str]:
-        """Return the servers that ended under a request, or to which it was lost."""
+        """Return the servers that terminated or were lost during a request."""
         servers = {s for s, lost in self._losses.items() if fingerprint in lost}
         record = self._records.get(fingerprint)
         return servers | record.ends.keys() if record else servers
 
     def measure_remaining_refusal_s(self, fingerprint: int, now: float) -> float:
-        """Return for how many more seconds a request is refused; 0 if it is not."""
+        """Return the remaining refusal period of a request in seconds, or 0."""
         record = self._records.get(fingerprint)
         return record.measure_remaining_refusal_s(now) if record else 0.0
 
     def find_last_end_at(self, fingerprint: int) -> float:
-        """Return the loop's time of the newest end under a request."""
+        """Return the event-loop time of the newest termination during a request."""
         record = self._records.get(fingerprint)
         return record.last_end_at if record else float("-inf")
 
     def clear(self, fingerprint: int, now: float) -> bool:
-        """Let a request run again, by an operator's word, here and at all other VMs.
+        """Clear a request by an operator's command, on this VM and on all others.
 
         Returns:
-            Whether anything was known against it.
+            Whether any termination was recorded for it.
         """
         record = self._records.get(fingerprint)
         if record is None or not record.ends:
@@ -213,28 +212,28 @@
         self._apply_served(fingerprint, record, now)
         return True
 
-    # what others tell
+    # exchange with other VMs
 
     def pop_pending(self) -> set[int]:
-        """Return the fingerprints of which there is news since the last call."""
+        """Return and clear the fingerprints with observations not yet sent."""
         pending, self._pending = self._pending, set()
         return pending
 
     @property
     def has_pending(self) -> bool:
-        """Whether something is known that other VMs were not told."""
+        """Whether an observation has not been sent to other VMs."""
         return bool(self._pending)
 
     def merge(self, fingerprint: int, peer_record: CrashRecord, now: float) -> bool:
-        """Take what another VM knows of a request.
+        """Merge another VM's record of a request.
 
         Args:
-            fingerprint: the request's.
-            peer_record: what it knows, in times of this VM's loop.
-            now: the loop's time.
+            fingerprint: fingerprint of the request.
+            peer_record: the record, with times converted to this VM's event loop.
+            now: event-loop time.
 
         Returns:
-            Whether the other counts an end that no longer counts.
+            Whether the other VM counts a termination that no longer counts.
         """
         if fingerprint not in self._records and not (
             peer_record.ends or peer_record.cleared
@@ -257,15 +256,15 @@
         self._quarantine_if_due(fingerprint, record)
         return bool(peer_record.ends.keys() & record.cleared.keys())
 
-    # what follows
+    # changes
 
     def pop_changes(self) -> list[QuarantineChange]:
-        """Return what became of requests since the last call."""
+        """Return and clear the changes since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
     def evict_expired(self, now: float) -> None:
-        """Forget what is too old to count."""
+        """Evict expired losses and records."""
         for server, losses in list(self._losses.items()):
             if all(now - loss.ended_at > LOSS_RETENTION_S for loss in losses.values()):
                 del self._losses[server]
@@ -278,7 +277,7 @@
             self._remove(fingerprint)
 
     def list_records(self, fingerprints: Iterable[int]) -> dict[int, CrashRecord]:
-        """Return what is known of some requests."""
+        """Return the records of some requests."""
         return {f: self._records[f] for f in fingerprints if f in self._records}
 
     def _apply_end(self, fingerprint: int, end: ServerEnd) -> None:
@@ -298,12 +297,12 @@
     def _release_if_due(
         self, fingerprint: int, record: CrashRecord, ends: tuple[ServerEnd, ...]
     ) -> None:
-        """Let a request run again if its ends no longer count.
+        """Release a request whose terminations no longer count.
 
         Args:
-            fingerprint: the request's.
-            record: what is known of it now.
-            ends: that counted before.
+            fingerprint: fingerprint of the request.
+            record: its current record.
+            ends: the terminations that counted before.
         """
         if fingerprint in self._quarantined and not record.is_quarantined:
             self._quarantined.discard(fingerprint)
@@ -327,18 +326,18 @@
         self._changes.append(QuarantineChange(kind, fingerprint, tuple(ends)))
 
     def _find_or_add(self, fingerprint: int) -> CrashRecord:
-        """Return what is known of a request, with what this VM knows of good runs."""
+        """Return a request's record, with the successful runs recorded by this VM."""
         record = self._records.get(fingerprint)
         if record is None:
             record = self._add(fingerprint)
         if fingerprint in self._served and not record.was_served:
-            # The others may not know: they must be told.
+            # Other VMs may not have this run, so it must be broadcast.
             record.was_served = True
             self._mark_pending(fingerprint)
         return record
 
     def _add(self, fingerprint: int) -> CrashRecord:
-        """Add a record; forget the oldest that holds nobody back, if there are many."""
+        """Add a record; at the limit, evict the oldest that is not quarantined."""
         if len(self._records) >= MAX_RECORDS:
             free = (f for f in self._records if f not in self._quarantined)
             self._remove(next(free, next(iter(self._records))))
--- a/src/ramppin/gateway/process/quarantine/record.py
+++ b/src/ramppin/gateway/process/quarantine/record.py
@@ -1,10 +1,10 @@
-"""What happened under one request: servers that ended, and runs that went well.
+"""Crash history of one request: servers that terminated during it, and successful runs.
 
-A request is known by its fingerprint (:mod:`ramppin.gateway.request.fingerprint`), the
-same each time that a caller sends it. When a server ends, each request in flight there
-is under suspicion, and at most one is guilty. What tells them apart is that a guilty
-request comes again, ends the next server, and never runs well. So ends are counted
-since its last good run. No I/O.
+A request is identified by its fingerprint (:mod:`ramppin.gateway.request.fingerprint`),
+which is the same each time a caller sends it. When a server terminates, each request in
+flight there is suspect, and at most one is the cause. The cause is recognized because
+it is sent again, crashes the next server, and never succeeds. So terminations are
+counted since the last successful run. No I/O.
 """
 
 from __future__ import annotations
@@ -13,38 +13,38 @@
 from dataclasses import dataclass, field
 
 MIN_ENDS = 3
-"""Servers that must have ended under a request, one after the other, before it is
-refused. A harmless request that was in flight at two ends of others is served by the
-third server, and then nothing counts against it."""
+"""Servers that must have terminated during a request, one after the other, before it is
+refused. A harmless request that was in flight at two unrelated crashes is served by the
+third server, which resets its count."""
 
 MIN_ENDS_SERVED = 8
-"""The same for a request that ran well before: harmless and often sent, most likely,
-and so in flight at many ends that another caused: it may well meet three of them before
-its next whole answer."""
+"""The same for a request that succeeded before. It is probably harmless and sent often,
+so it may be in flight at three crashes caused by another request before its next
+complete response."""
 
 FIRST_REFUSAL_S = 60.0
-"""Seconds for which a request is refused after the third end: long beside the seconds
-in which a server is back. Then one copy may show whether it still ends its server."""
+"""Refusal period in seconds after the third termination, much longer than the seconds a
+server needs to restart. Then one copy is let through as a trial."""
 
 MAX_DOUBLINGS = 5
-"""Each end more doubles the time for which a request is refused, to 32 minutes."""
+"""Each further termination doubles the refusal period, up to 32 minutes."""
 
 MAX_ENDS = MIN_ENDS_SERVED + MAX_DOUBLINGS
-"""Ends that are kept of one request: all that count."""
+"""Maximum recorded terminations of one request; more would not change the result."""
 
 OVERLAP_S = 0.1
-"""Seconds by which a copy may have been sent before an earlier end and still count as
-sent after it: that much of a message's way is not known."""
+"""Tolerance in seconds: a copy sent this much before a termination still counts as sent
+after it, because the transmission delay is not known."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEnd:
-    """A backend server that ended while a request was in flight there.
+    """Termination of a backend server while a request was in flight there.
 
     Attributes:
-        server: id of its incarnation.
-        sent_at: the loop's time at which the request was sent there.
-        ended_at: the loop's time at which the connection was lost.
+        server: id of the server's incarnation.
+        sent_at: event-loop time at which the request was sent to it.
+        ended_at: event-loop time at which the connection was lost.
     """
 
     server: str
@@ -54,18 +54,19 @@
 
 @dataclass(slots=True)
 class CrashRecord:
-    """What happened under one request.
+    """Crash history of one request.
 
     Attributes:
-        ends: of servers, since the last good run, by the server's id.
-        cleared: servers that ended under it and no longer count, the newest last. By
-            name, since times of other VMs are wrong by as long as a message lay unread
-            here: a process that was stopped refused a request that ran well.
-        served_at: the loop's time of the last good run.
-        was_served: whether it is known to have run well before.
-        tried_at: the loop's time at which a copy was last let through on trial.
-        peer_end_count: ends that another VM counted.
-        changed_at: the loop's time at which something was last learnt.
+        ends: terminations since the last successful run, by the server's id.
+        cleared: ids of servers whose terminations no longer count, the newest last.
+            Times reported by other VMs can't decide this, because they are wrong by
+            the time a message stayed unread: a suspended process would refuse a
+            request that has succeeded since.
+        served_at: event-loop time of the last successful run.
+        was_served: whether it is known to have succeeded before.
+        tried_at: event-loop time at which a copy was last let through as a trial.
+        peer_end_count: terminations that another VM counted.
+        changed_at: event-loop time of the last change.
 
     .. versionadded:: 0.2
     """
@@ -80,12 +81,12 @@
 
     @property
     def last_end_at(self) -> float:
-        """The loop's time of the newest end."""
+        """Event-loop time of the newest termination."""
         times = (end.ended_at for end in self.ends.values())
         return max(times, default=float("-inf"))
 
     def note_end(self, end: ServerEnd) -> bool:
-        """Take an end; return whether it is news."""
+        """Record a termination; return whether it is new and counts."""
         if end.server in self.ends or end.server in self.cleared:
             return False
         if end.ended_at <= self.served_at:
@@ -98,17 +99,17 @@
         return True
 
     def note_served(self, at: float) -> None:
-        """Take a good run of which this VM knows itself: no end counts any more.
+        """Record a successful run on this VM, which clears all terminations.
 
         Args:
-            at: the loop's time at which the answer was whole.
+            at: event-loop time at which the response was complete.
         """
         self.served_at = max(self.served_at, at)
         self.was_served = True
         self.clear(list(self.ends))
 
     def clear(self, servers: Iterable[str]) -> None:
-        """Take servers whose ends no longer count."""
+        """Discard the terminations of some servers, which no longer count."""
         for server in servers:
             self.ends.pop(server, None)
             self._clear(server)
@@ -122,11 +123,11 @@
             del self.cleared[next(iter(self.cleared))]
 
     def count_ends(self) -> int:
-        """Return how many servers ended one after the other.
+        """Return how many servers terminated one after the other.
 
-        Copies that ran at one time count once: what ended one of their servers may
-        have ended the others, as when a whole failure domain goes, while a copy sent
-        after an end is a new witness.
+        Copies that ran concurrently count once, because their servers may share one
+        cause, such as the loss of a failure domain. A copy sent after a termination is
+        independent evidence.
         """
         count, last_end_at = 0, float("-inf")
         for end in sorted(self.ends.values(), key=lambda known: known.ended_at):
@@ -137,19 +138,19 @@
 
     @property
     def min_ends(self) -> int:
-        """How many servers must have ended, one after the other."""
+        """Number of consecutive terminations from which the request is quarantined."""
         return MIN_ENDS_SERVED if self.was_served else MIN_ENDS
 
     @property
     def is_quarantined(self) -> bool:
-        """Whether the request is refused, or may run on trial only."""
+        """Whether the request is refused, or may only run as a trial."""
         return self.count_ends() >= self.min_ends
 
     def measure_remaining_refusal_s(self, now: float) -> float:
-        """Return for how many more seconds the request is refused; 0 if it is not.
+        """Return the remaining refusal period in seconds; 0 if there is none.
 
         Args:
-            now: the loop's time.
+            now: event-loop time.
         """
         surplus = self.count_ends() - self.min_ends
         if surplus < 0:
--- a/src/ramppin/gateway/process/quarantine/servercheck.py
+++ b/src/ramppin/gateway/process/quarantine/servercheck.py
@@ -1,9 +1,9 @@
-"""Whether a server to which a connection was lost has ended.
+"""Checks whether a backend server terminated when a connection to it was lost.
 
-A lost connection alone may be the network's doing. A server that has ended refuses the
-next connection, so one is opened at once; nothing is sent over it, and it is kept for
-later requests if it comes up. Where it neither comes up nor is refused, the server's
-entry tells: it lapses, or tells a later start. Owns the checks that run.
+A lost connection alone may be a network fault. A terminated server refuses the next
+connection, so one is opened at once; nothing is sent on it, and it returns to the pool
+if it is established. If it is neither established nor refused, the server's entry
+decides: it expires, or shows a later start. Owns the running checks.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 
 class ServerChecks:
-    """Checks servers to which connections were lost, one check a server at a time.
+    """Checks servers after lost connections, with at most one running check per server.
 
     Args:
         pool: opens and keeps connections.
-        quarantine: takes what is found.
+        quarantine: is notified of terminated servers.
 
     .. versionadded:: 0.2
     """
@@ -32,7 +32,7 @@
         self._running: dict[str, asyncio.Task[None]] = {}
 
     def start(self, state: ServerState) -> None:
-        """Check a server, unless it is being checked."""
+        """Start a check of a server unless one is running."""
         if state.id in self._running:
             return
         task = asyncio.get_running_loop().create_task(self._check(state))
