--- a/features/steps/gateway_load_steps.py
+++ b/features/steps/gateway_load_steps.py
@@ -257,7 +257,7 @@
 def step_waits_beside_report(context):
     state = build_state("s0")
     state.note_load(1, 0, NOW)
-    state.waiting.take_told("a", 5, NOW)
+    state.waiting.apply_peer_count("a", 5, NOW)
     assert state.find_known_load(NOW) == 5
     assert state.estimate_load(NOW, 1.0) == 5
 
--- a/features/steps/gateway_server_rule_steps.py
+++ b/features/steps/gateway_server_rule_steps.py
@@ -103,7 +103,7 @@
     for number, text in enumerate(servers.split()):
         place, load, *told = text.split(":")
         states.append(build_server(f"s{number}", int(load), place))
-        states[-1].waiting.take_told("vm-2", int(*told or "0"), NOW)
+        states[-1].waiting.apply_peer_count("vm-2", int(*told or "0"), NOW)
     strategy = NearestSelection("near", generator=random.Random(1))
     found = Counter(
         strategy.choose(SelectionRequest(), states, NOW).state.id
--- a/features/steps/platform_restart_steps.py
+++ b/features/steps/platform_restart_steps.py
@@ -63,7 +63,7 @@
     old = directory.put(build_server(5))
     old.note_load(9, 0, NOW)
     old.in_flight = 2
-    old.waiting.take_told("vm-2", 3, NOW)
+    old.waiting.apply_peer_count("vm-2", 3, NOW)
     old.health.note_outcome(Outcome.UNREACHABLE, NOW)
     old.evidence.note_failures(9, "porto", NOW)
     homes.note_placed(7, old.id, NOW)
--- a/src/ramppin/gateway/process/load/gossip.py
+++ b/src/ramppin/gateway/process/load/gossip.py
@@ -85,7 +85,7 @@
         for hint in hints.waits:
             state = self._directory.find(hint.server)
             if state is not None and hint.count >= 0:
-                state.waiting.take_told(hints.vm, hint.count, now)
+                state.waiting.apply_peer_count(hints.vm, hint.count, now)
 
     def take_loads(self, hints: Sequence[LoadHint], now: float) -> None:
         """Take the reports that another VM got."""
--- a/src/ramppin/gateway/process/load/waiting.py
+++ b/src/ramppin/gateway/process/load/waiting.py
@@ -18,7 +18,7 @@
 waits that vary as much as their mean one in twenty is that long. Later bytes come
 sooner."""
 
-TOLD_TRUST_S = 0.5
+PEER_COUNT_TTL_S = 0.5
 """Seconds for which a VM's word counts: it repeats it each 0.2 s while it holds, so
 one message may be lost, and a VM that is gone is soon forgotten."""
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldWaits:
+class PeerCount:
     """How many overdue requests another VM has at the server, and when it said so."""
 
     count: int
@@ -49,7 +49,7 @@
         self._stall_detector = stall_detector or StallDetector()
         self._since: dict[object, float] = {}
         self._abandoned_at: list[float] = []
-        self._told: dict[str, ToldWaits] = {}
+        self._peer_counts: dict[str, PeerCount] = {}
 
     def note_sent(self, request: object, now: float) -> None:
         """Note that a request of this VM was sent, or is read on after a pause."""
@@ -99,18 +99,20 @@
         waiting = sum(since < latest for since in self._since.values())
         return waiting + self.count_abandoned(now)
 
-    def take_told(self, vm: str, count: int, now: float) -> None:
+    def apply_peer_count(self, vm: str, count: int, now: float) -> None:
         """Take how many overdue requests another VM has here."""
         if count:
-            self._told[vm] = ToldWaits(count, now)
+            self._peer_counts[vm] = PeerCount(count, now)
         else:
-            self._told.pop(vm, None)
+            self._peer_counts.pop(vm, None)
 
-    def count_told(self, now: float) -> int:
+    def count_peer_overdue(self, now: float) -> int:
         """Return how many overdue requests other VMs have here."""
-        if not self._told:
+        if not self._peer_counts:
             return 0
-        self._told = {
-            vm: told for vm, told in self._told.items() if now - told.at <= TOLD_TRUST_S
+        self._peer_counts = {
+            vm: peer
+            for vm, peer in self._peer_counts.items()
+            if now - peer.at <= PEER_COUNT_TTL_S
         }
-        return sum(told.count for told in self._told.values())
+        return sum(peer.count for peer in self._peer_counts.values())
--- a/src/ramppin/gateway/process/routing/nearestselection.py
+++ b/src/ramppin/gateway/process/routing/nearestselection.py
@@ -67,7 +67,7 @@
         others.
         """
         without_overdue = [
-            state for state in states if not state.waiting.count_told(now)
+            state for state in states if not state.waiting.count_peer_overdue(now)
         ]
         share = min(1.0, BOUND_RATIO * len(without_overdue) / servers)
         if self._generator.random() < share:
--- a/src/ramppin/gateway/process/routing/serverstate.py
+++ b/src/ramppin/gateway/process/routing/serverstate.py
@@ -137,7 +137,7 @@
 
         Those of this VM, and those of which others told since they wait for long.
         """
-        return self.count_own(now) + self.waiting.count_told(now)
+        return self.count_own(now) + self.waiting.count_peer_overdue(now)
 
     def count_own(self, now: float) -> int:
         """Return how many requests of this VM it holds.
