--- a/src/ramppin/gateway/process/load/estimate.py
+++ b/src/ramppin/gateway/process/load/estimate.py
@@ -37,7 +37,7 @@
         self._in_flight_then = 0
         self._peak = 0
         self._peak_at = NEVER
-        self._untold = False
+        self._pending = False
 
     def note_report(self, requests: int, in_flight: int, now: float) -> None:
         """Take the load that an answer reported.
@@ -47,10 +47,10 @@
             in_flight: those of them that this VM has there.
             now: the loop's time.
         """
-        self._take(requests, in_flight, now)
-        self._untold = True
+        self._apply(requests, in_flight, now)
+        self._pending = True
 
-    def take_told(self, requests: int, in_flight: int, at: float) -> None:
+    def apply_peer_report(self, requests: int, in_flight: int, at: float) -> None:
         """Take a report that another VM got, unless a newer one is known.
 
         Args:
@@ -59,13 +59,13 @@
             at: the loop's time of the report.
         """
         if at > self.reported_at:
-            self._take(requests, in_flight, at)
-            self._untold = False
+            self._apply(requests, in_flight, at)
+            self._pending = False
 
-    def take_untold(self) -> bool:
+    def pop_pending(self) -> bool:
         """Return whether this VM got a report since the last call."""
-        untold, self._untold = self._untold, False
-        return untold
+        pending, self._pending = self._pending, False
+        return pending
 
     def has_report(self, now: float) -> bool:
         """Return whether a report is fresh enough to count."""
@@ -97,7 +97,7 @@
         age_s = max(0.0, now - self._peak_at)
         return self._peak * math.exp(-age_s / PEAK_LIFE_S)
 
-    def _take(self, requests: int, in_flight: int, at: float) -> None:
+    def _apply(self, requests: int, in_flight: int, at: float) -> None:
         if requests >= self.find_peak(at):
             self._peak = requests
             self._peak_at = at
--- a/src/ramppin/gateway/process/load/gossip.py
+++ b/src/ramppin/gateway/process/load/gossip.py
@@ -68,7 +68,7 @@
 
     def collect(self, now: float) -> LoadUpdates:
         """Return what is news since the last call: own answers' reports, and waits."""
-        fresh = [state for state in self._directory if state.load.take_untold()]
+        fresh = [state for state in self._directory if state.load.pop_pending()]
         fresh.sort(key=lambda state: -state.load.requests)
         near = [_describe(state, now) for state in fresh[:SERVERS_PER_MESSAGE]]
         high = {
@@ -93,7 +93,7 @@
             state = self._directory.find(hint.server)
             if state is not None and 0 <= hint.age_ms <= REPORT_TRUST_S * MS_PER_S:
                 at = now - hint.age_ms / MS_PER_S
-                state.load.take_told(hint.requests, state.in_flight, at)
+                state.load.apply_peer_report(hint.requests, state.in_flight, at)
 
     def _collect_waits(self, now: float) -> list[WaitHint]:
         """Return the overdue requests by server, if that is news or must be repeated.
