--- a/src/ramppin/gateway/process/load/estimate.py
+++ b/src/ramppin/gateway/process/load/estimate.py
@@ -10,7 +10,7 @@
 
 import math
 
-REPORT_TRUST_S = 4.0
+REPORT_MAX_AGE_S = 4.0
 """Seconds after which a load report says nothing any more."""
 
 PEAK_LIFE_S = 5.0
@@ -69,7 +69,7 @@
 
     def has_report(self, now: float) -> bool:
         """Return whether a report is fresh enough to count."""
-        return now - self.reported_at <= REPORT_TRUST_S
+        return now - self.reported_at <= REPORT_MAX_AGE_S
 
     def measure_age(self, now: float) -> float:
         """Return the age of the newest report in seconds."""
--- a/src/ramppin/gateway/process/load/gossip.py
+++ b/src/ramppin/gateway/process/load/gossip.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from ramppin.gateway.connection.datagrams import LoadHint, PeerHints, WaitHint
-from ramppin.gateway.process.load.estimate import NEVER, REPORT_TRUST_S
+from ramppin.gateway.process.load.estimate import NEVER, REPORT_MAX_AGE_S
 from ramppin.gateway.process.load.view import measure_loads
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.serverstate import ServerState
@@ -91,7 +91,7 @@
         """Take the reports that another VM got."""
         for hint in hints:
             state = self._directory.find(hint.server)
-            if state is not None and 0 <= hint.age_ms <= REPORT_TRUST_S * MS_PER_S:
+            if state is not None and 0 <= hint.age_ms <= REPORT_MAX_AGE_S * MS_PER_S:
                 at = now - hint.age_ms / MS_PER_S
                 state.load.apply_peer_report(hint.requests, state.in_flight, at)
 
