--- a/src/ramppin/gateway/process/load/estimate.py
+++ b/src/ramppin/gateway/process/load/estimate.py
@@ -13,7 +13,7 @@
 REPORT_MAX_AGE_S = 4.0
 """Seconds after which a load report says nothing any more."""
 
-PEAK_LIFE_S = 5.0
+PEAK_DECAY_S = 5.0
 """Seconds in which a peak of load fades to a third. Requests of a hot prefix come in
 bunches, as after each stall of the VMs, and the server is calm between."""
 
@@ -95,7 +95,7 @@
     def find_peak(self, now: float) -> float:
         """Return the highest load of late, in requests, the less the longer ago."""
         age_s = max(0.0, now - self._peak_at)
-        return self._peak * math.exp(-age_s / PEAK_LIFE_S)
+        return self._peak * math.exp(-age_s / PEAK_DECAY_S)
 
     def _apply(self, requests: int, in_flight: int, at: float) -> None:
         if requests >= self.find_peak(at):
