--- a/src/ramppin/gateway/process/load/estimate.py
+++ b/src/ramppin/gateway/process/load/estimate.py
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self.requests = 0
         self.reported_at = NEVER
-        self._in_flight_then = 0
+        self._in_flight_at_report = 0
         self._peak = 0
         self._peak_at = NEVER
         self._pending = False
@@ -89,7 +89,7 @@
         if not self.has_report(now):
             return float(in_flight)
         left = math.exp(-max(0.0, self.measure_age(now)) / lifetime_s)
-        since = in_flight - self._in_flight_then
+        since = in_flight - self._in_flight_at_report
         return max(in_flight, mean + (self.requests - mean) * left + since)
 
     def find_peak(self, now: float) -> float:
@@ -103,4 +103,4 @@
             self._peak_at = at
         self.requests = requests
         self.reported_at = at
-        self._in_flight_then = in_flight
+        self._in_flight_at_report = in_flight
