--- a/features/steps/gateway_hot_prefix_steps.py
+++ b/features/steps/gateway_hot_prefix_steps.py
@@ -42,7 +42,7 @@
     strategy = PrefixSelection(
         homes, bound=0.0, slack=BOUND, generator=random.Random(1)
     )
-    homes.hot.take([PREFIX] if is_yes(hot) else [], NOW)
+    homes.hot.apply([PREFIX] if is_yes(hot) else [], NOW)
     found = Counter()
     for _ in range(DRAWS):
         found[strategy.choose(SelectionRequest(PREFIX), states, NOW).state.id] += 1
@@ -80,6 +80,6 @@
         finder.note_home_at_bound(PREFIX, SERVERS, NOW + tenth / 10)
         told += finder.collect()
     assert told == [PREFIX, PREFIX], told
-    hearer.take(told, NOW)
+    hearer.apply(told, NOW)
     assert hearer.is_hot(PREFIX, NOW)
     assert not hearer.collect()
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -134,7 +134,7 @@
         for hint in hints.homes:
             announcement = HomeAnnouncement(hint.key, hint.server, hint.age_ms / 1000)
             self._homes.apply_announcement(announcement, now)
-        self._homes.hot.take(hints.hot, now)
+        self._homes.hot.apply(hints.hot, now)
         self._loads.take(hints, now)
         self._notices.apply(hints.leaving, now)
         self._notices.apply_backoffs(hints.vm, hints.backoffs, now)
--- a/src/ramppin/gateway/process/routing/hotprefixes.py
+++ b/src/ramppin/gateway/process/routing/hotprefixes.py
@@ -73,13 +73,13 @@
             return
         if now - self._hot_at.get(key, NEVER) > HOT_PERIOD_S / 2:
             self._pending[key] = None
-            self.take([key], now)
+            self.apply([key], now)
 
     def is_hot(self, key: int, now: float) -> bool:
         """Return whether a prefix needs more servers than its home."""
         return now - self._hot_at.get(key, NEVER) <= HOT_PERIOD_S
 
-    def take(self, keys: Iterable[int], now: float) -> None:
+    def apply(self, keys: Iterable[int], now: float) -> None:
         """Take the prefixes that a VM found hot."""
         for key in keys:
             _put_newest(self._hot_at, key, now)
