--- a/bench/vms/clock.py
+++ b/bench/vms/clock.py
@@ -189,7 +189,7 @@
             self.call_at_vm(vm, self._take_hints, vm, hints, host)
 
     def _take_hints(self, vm: ModelVm, hints: PeerHints, host: str) -> None:
-        vm.hints.take(hints, host, self.now)
+        vm.hints.apply(hints, host, self.now)
 
     def _take_turn(self, vm: ModelVm) -> None:
         self.call_at_vm(vm, self._send_due, vm)
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -232,7 +232,7 @@
     hints._sent_at = dict.fromkeys((True, False), float("inf"))
     hints.send_due(NOW)
     assert [up for up, _ in sent] == [is_up, is_up], sent
-    hints.take(PeerHints("b1", [], is_up), find_address("b1"), NOW)
+    hints.apply(PeerHints("b1", [], is_up), find_address("b1"), NOW)
     [other] = [vm for vm in members.list_last_seen_first() if vm.vm == "b1"]
     assert other.log_up is is_up
 
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -291,7 +291,7 @@
 
     def _take_hints(self, hints: PeerHints, host: str) -> None:
         if self._hints is not None:
-            self._hints.take(hints, host, asyncio.get_running_loop().time())
+            self._hints.apply(hints, host, asyncio.get_running_loop().time())
 
     async def _sweep(self) -> None:
         """Close what is idle too long, and write decision lines."""
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -120,7 +120,7 @@
                 await self._woken.wait()
         self._woken.clear()
 
-    def take(self, hints: PeerHints, host: str, now: float) -> None:
+    def apply(self, hints: PeerHints, host: str, now: float) -> None:
         """Take a message of another VM.
 
         Args:
