--- a/src/ramppin/gateway/process/load/gossip.py
+++ b/src/ramppin/gateway/process/load/gossip.py
@@ -71,12 +71,12 @@
         fresh = [state for state in self._directory if state.load.pop_pending()]
         fresh.sort(key=lambda state: -state.load.requests)
         near = [_describe(state, now) for state in fresh[:SERVERS_PER_MESSAGE]]
-        high = {
+        near_bound = {
             state.id
             for service in {state.server.service for state in fresh}
-            for state in self._list_high(service, now)
+            for state in self._list_near_bound(service, now)
         }
-        far = [hint for hint in near if hint.server in high]
+        far = [hint for hint in near if hint.server in near_bound]
         return LoadUpdates(near, far, self._collect_waits(now))
 
     def take(self, hints: PeerHints, now: float) -> None:
@@ -116,7 +116,7 @@
         most = sorted((over | waits).items(), key=lambda item: -item[1])
         return [WaitHint(*item) for item in most[:SERVERS_PER_MESSAGE]]
 
-    def _list_high(self, service: str, now: float) -> list[ServerState]:
+    def _list_near_bound(self, service: str, now: float) -> list[ServerState]:
         """Return the servers of a service whose newest report is near the bound."""
         states = self._directory.list_open(service)
         limit = HIGH_SHARE * measure_loads(states, now).bound
