--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -44,7 +44,7 @@
 while there are some left, since each VM that does not know it places it anew and reads
 it again. So is a server that is near the bound."""
 
-HINTS_PER_DATAGRAM = 24
+HOMES_PER_DATAGRAM = 24
 """Homes in one datagram, 684 bytes with the ids of the sites played: below the usual
 path limit, so that it is not split."""
 
@@ -188,7 +188,7 @@
 
     def _send(self, now: float) -> None:
         """Send what is new to all VMs, or a heartbeat to those it is due to."""
-        announcements = self._homes.collect_announcements(now, HINTS_PER_DATAGRAM)
+        announcements = self._homes.collect_announcements(now, HOMES_PER_DATAGRAM)
         homes = [
             HomeHint(
                 announcement.key, announcement.server, int(announcement.age_s * 1000)
