--- a/src/ramppin/gateway/process/routing/homesnapshot.py
+++ b/src/ramppin/gateway/process/routing/homesnapshot.py
@@ -103,17 +103,17 @@
         await self._load()
         self._written_changes = self._homes.changes
         self._written_digest = self._suspects.digest
-        homes_due_at = self._find_next_turn()
+        homes_due_at = self._compute_next_due_time()
         while True:
             await asyncio.sleep(SUSPECT_PERIOD_S)
             is_due = self._suspects.digest != self._written_digest
             if asyncio.get_running_loop().time() >= homes_due_at:
-                homes_due_at = self._find_next_turn()
+                homes_due_at = self._compute_next_due_time()
                 is_due |= self._homes.changes != self._written_changes
             if is_due and self._is_writer():
                 await self._write()
 
-    def _find_next_turn(self) -> float:
+    def _compute_next_due_time(self) -> float:
         return asyncio.get_running_loop().time() + SNAPSHOT_PERIOD_S
 
     async def _load(self) -> None:
@@ -128,7 +128,7 @@
             if self._has_servers():
                 break
             await asyncio.sleep(SERVER_CHECK_S)
-        self._take_homes(snapshot)
+        self._apply_homes(snapshot)
 
     async def _read(self) -> bytes | None:
         for _ in range(LOAD_ATTEMPTS):
@@ -144,7 +144,7 @@
             return None
         return None
 
-    def _take_homes(self, snapshot: HomeSnapshot) -> None:
+    def _apply_homes(self, snapshot: HomeSnapshot) -> None:
         now = asyncio.get_running_loop().time()
         for hint in snapshot.homes:
             # The writer's age is a lower limit; it is older by now.
