--- a/src/ramppin/gateway/process/load/times.py
+++ b/src/ramppin/gateway/process/load/times.py
@@ -7,17 +7,17 @@
 
 from __future__ import annotations
 
-FIRST_STAY_S = 1.0
+INITIAL_STAY_S = 1.0
 """Seconds that are taken before any answer: the order of a short chat's answer."""
 
-FIRST_WAIT_S = 0.1
+INITIAL_WAIT_S = 0.1
 """Seconds for a first byte that are taken before any answer: the order of a prompt that
 must be read; a plain server takes a quarter of it."""
 
-MOST_COUNTED = 10
+MAX_SAMPLE_WEIGHT = 10
 """Requests of a VM that decide a mean; the newest counts as one of so many."""
 
-SHORTEST_S = 0.02
+MIN_MEAN_S = 0.02
 """Seconds below which a mean is not taken: what VMs tell is no better known in time."""
 
 
@@ -25,8 +25,8 @@
     """The mean of a time, the newest ones counting most.
 
     Args:
-        first_s: what is taken before any.
-        first_weight: times that this counts as; at most as many as decide later.
+        initial_s: what is taken before any.
+        initial_weight: times that this counts as; at most as many as decide later.
 
     Attributes:
         mean_s: in seconds.
@@ -34,15 +34,17 @@
     .. versionadded:: 0.3
     """
 
-    def __init__(self, first_s: float, first_weight: int = MOST_COUNTED) -> None:
-        self.mean_s = first_s
-        self._counted = first_weight
+    def __init__(
+        self, initial_s: float, initial_weight: int = MAX_SAMPLE_WEIGHT
+    ) -> None:
+        self.mean_s = initial_s
+        self._weight = initial_weight
 
-    def note(self, took_s: float) -> None:
+    def note(self, duration_s: float) -> None:
         """Take one time, in seconds."""
-        mean_s = self.mean_s + (took_s - self.mean_s) / self._counted
-        self.mean_s = max(SHORTEST_S, mean_s)
-        self._counted = min(MOST_COUNTED, self._counted + 1)
+        mean_s = self.mean_s + (duration_s - self.mean_s) / self._weight
+        self.mean_s = max(MIN_MEAN_S, mean_s)
+        self._weight = min(MAX_SAMPLE_WEIGHT, self._weight + 1)
 
 
 class ServiceTimes:
@@ -56,5 +58,5 @@
     """
 
     def __init__(self) -> None:
-        self.stay = MovingMean(FIRST_STAY_S)
-        self.wait = MovingMean(FIRST_WAIT_S, first_weight=2)
+        self.stay = MovingMean(INITIAL_STAY_S)
+        self.wait = MovingMean(INITIAL_WAIT_S, initial_weight=2)
