--- a/src/ramppin/gateway/process/load/view.py
+++ b/src/ramppin/gateway/process/load/view.py
@@ -25,11 +25,11 @@
 """Servers with a load report from which on they stand for all: a single one may be the
 busiest."""
 
-REPORTED_ONE = 1.0
+REPORT_EXCESS = 1.0
 """Requests by which a report is above what its server holds at other moments: the one
 that was answered."""
 
-MEAN_STEPS = 20
+BISECTION_STEPS = 20
 """Halvings of the interval in which :func:`weigh_mean` looks: to a millionth of it."""
 
 
@@ -85,7 +85,7 @@
         known = sum(state.find_known_load(now) for state in states)
         return known / max(1, len(states))
     own = sum(state.in_flight for state in states) / len(states)
-    return max(own, weigh_mean(reported, len(states)) - REPORTED_ONE)
+    return max(own, weigh_mean(reported, len(states)) - REPORT_EXCESS)
 
 
 def weigh_mean(loads: Sequence[int], servers: int) -> float:
@@ -108,23 +108,29 @@
     # Loads are few small numbers: 910 servers have some twenty.
     counts = Counter(loads)
     low, high = 0.0, 1.0
-    while _count_servers(counts, high) > servers:
+    while _estimate_servers(counts, high) > servers:
         low, high = high, high * 2
-    for _ in range(MEAN_STEPS):
+    for _ in range(BISECTION_STEPS):
         middle = (low + high) / 2
-        if _count_servers(counts, middle) > servers:
+        if _estimate_servers(counts, middle) > servers:
             low = middle
         else:
             high = middle
-    total = sum(count * load / _chance(load, high) for load, count in counts.items())
+    total = sum(
+        count * load / _compute_observation_probability(load, high)
+        for load, count in counts.items()
+    )
     return total / servers
 
 
-def _count_servers(counts: Counter[int], rate: float) -> float:
+def _estimate_servers(counts: Counter[int], rate: float) -> float:
     """Return for how many servers those that were seen stand."""
-    return sum(count / _chance(load, rate) for load, count in counts.items())
+    return sum(
+        count / _compute_observation_probability(load, rate)
+        for load, count in counts.items()
+    )
 
 
-def _chance(load: int, rate: float) -> float:
+def _compute_observation_probability(load: int, rate: float) -> float:
     """Return the chance that a server with a load was seen."""
     return -math.expm1(-rate * load)
