--- a/bench/vms/crashes.py
+++ b/bench/vms/crashes.py
@@ -18,8 +18,8 @@
 from ramppin.gateway.process.quarantine.gossip import QuarantineGossip
 from ramppin.gateway.process.quarantine.quarantine import Quarantine
 from ramppin.gateway.process.routing.hints import (
-    BURST_DATAGRAMS,
     DATAGRAMS_PER_S,
+    MAX_BURST_DATAGRAMS,
     SHORTEST_PERIOD_S,
 )
 
@@ -105,7 +105,7 @@
         self.period_s = max(SHORTEST_PERIOD_S, vms / DATAGRAMS_PER_S)
         self.due_at = generator.random() * self.period_s
         self.heartbeat_at = generator.random() * HEARTBEAT_S
-        self.datagrams_left = float(BURST_DATAGRAMS)
+        self.datagrams_left = float(MAX_BURST_DATAGRAMS)
 
 
 class CrashReplay:
@@ -191,7 +191,7 @@
     def _take_turn(self, number: int) -> None:
         vm = self._vms[number]
         refilled = vm.datagrams_left + STEP_S * DATAGRAMS_PER_S
-        vm.datagrams_left = min(BURST_DATAGRAMS, refilled)
+        vm.datagrams_left = min(MAX_BURST_DATAGRAMS, refilled)
         if self._now >= vm.heartbeat_at:
             vm.heartbeat_at += HEARTBEAT_S
             self._send_heartbeat(number)
@@ -201,7 +201,7 @@
             vm.due_at += vm.period_s
             self._tell_all(number)
         elif self._pattern.tells_at_once and vm.news.is_urgent:
-            vms = min(len(self._vms), BURST_DATAGRAMS)
+            vms = min(len(self._vms), MAX_BURST_DATAGRAMS)
             if vm.datagrams_left >= vms:
                 vm.datagrams_left -= vms
                 self._tell_all(number)
--- a/features/steps/gateway_load_steps.py
+++ b/features/steps/gateway_load_steps.py
@@ -18,7 +18,7 @@
 from ramppin.gateway.process.recovery.replica import Record
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.failuregossip import FailureGossip
-from ramppin.gateway.process.routing.hints import BURST_DATAGRAMS, HintExchange
+from ramppin.gateway.process.routing.hints import MAX_BURST_DATAGRAMS, HintExchange
 from ramppin.gateway.process.routing.homes import PrefixHomes
 from ramppin.gateway.process.routing.serverstate import BackendServer, ServerState
 
@@ -182,7 +182,7 @@
 @then("a high report is told to {near:d} near VMs and {far:d} far ones in {period:g} s")
 def step_high(context, near, far, period):
     hints, link, directory = build_exchange(near, far)
-    hints._datagrams_left = float(BURST_DATAGRAMS)
+    hints._datagram_budget = float(MAX_BURST_DATAGRAMS)
     note_high(directory)
     hints.send_due(NOW + period)
     assert len(link.sent) == near + far, len(link.sent)
@@ -191,7 +191,7 @@
 @then("with no datagrams left it is told to the near ones alone")
 def step_high_no_budget(context):
     hints, link, directory = build_exchange(31, 163)
-    hints._datagrams_left = 0.0
+    hints._datagram_budget = 0.0
     note_high(directory)
     hints.send_due(NOW + 0.08)
     assert len(link.sent) == 31, len(link.sent)
--- a/features/steps/gateway_server_rule_steps.py
+++ b/features/steps/gateway_server_rule_steps.py
@@ -168,7 +168,7 @@
 def step_told_in_turn(context, others):
     hints, homes = build_hints(others)
     assert hints.is_due(NOW)
-    hints._datagrams_left = 0.0
+    hints._datagram_budget = 0.0
     homes.note_placed(PREFIX, "s0", NOW)
     assert not hints.is_due(NOW + 0.2)
     assert hints.is_due(NOW + others / 100)
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -39,7 +39,7 @@
 with 32 VMs there a report is told within 0.08 s. What is sent is one round for each
 report at most, some 60 datagrams a second at two answers a second."""
 
-BURST_DATAGRAMS = 400
+MAX_BURST_DATAGRAMS = 400
 """Datagrams that a VM may send at once: a prefix that was just placed is told at once
 while there are some left, since each VM that does not know it places it anew and reads
 it again. So is a server that is near the bound."""
@@ -94,8 +94,8 @@
         self._woken = asyncio.Event()
         self._suspects.watch(self._woken.set)
         self._notices.watch(self._woken.set)
-        self._datagrams_left = float(BURST_DATAGRAMS)
-        self._looked_at = float("-inf")
+        self._datagram_budget = float(MAX_BURST_DATAGRAMS)
+        self._budget_updated_at = float("-inf")
         self._due_at = float("-inf")
         self._loads_due_at = float("-inf")
         self._sent_at = dict.fromkeys((True, False), float("-inf"))
@@ -152,10 +152,12 @@
 
     def is_due(self, now: float) -> bool:
         """Return whether to send now: in turn, or at once what was just placed."""
-        passed_s = min(now - self._looked_at, BURST_DATAGRAMS / DATAGRAMS_PER_S)
-        self._looked_at = now
-        self._datagrams_left = min(
-            BURST_DATAGRAMS, self._datagrams_left + passed_s * DATAGRAMS_PER_S
+        passed_s = min(
+            now - self._budget_updated_at, MAX_BURST_DATAGRAMS / DATAGRAMS_PER_S
+        )
+        self._budget_updated_at = now
+        self._datagram_budget = min(
+            MAX_BURST_DATAGRAMS, self._datagram_budget + passed_s * DATAGRAMS_PER_S
         )
         if now >= self._due_at:
             self._due_at = now + self._choose_period()
@@ -165,7 +167,7 @@
             or self._suspects.is_urgent
             or self._notices.is_urgent
         )
-        return is_urgent and self._may_tell_all()
+        return is_urgent and self._may_broadcast()
 
     def are_loads_due(self, now: float) -> bool:
         """Return whether to tell loads now, beside what is told in turn."""
@@ -178,13 +180,13 @@
     def _choose_period(self) -> float:
         return max(SHORTEST_PERIOD_S, len(self._members) / DATAGRAMS_PER_S)
 
-    def _may_tell_all(self) -> bool:
+    def _may_broadcast(self) -> bool:
         """Return whether enough datagrams are left for a message to all VMs.
 
         A fleet larger than the burst is told when all of that is left: the debt is
         paid back before the next time.
         """
-        return self._datagrams_left >= min(len(self._members), BURST_DATAGRAMS)
+        return self._datagram_budget >= min(len(self._members), MAX_BURST_DATAGRAMS)
 
     def _send(self, now: float) -> None:
         """Send what is new to all VMs, or a heartbeat to those it is due to."""
@@ -236,7 +238,7 @@
         loads = self._loads.collect(now)
         if loads.near or loads.waits:
             self._send_to(self._build_load_hints(loads.near, loads.waits), True, now)
-        if (loads.far or loads.waits) and self._may_tell_all():
+        if (loads.far or loads.waits) and self._may_broadcast():
             self._send_to(self._build_load_hints(loads.far, loads.waits), False, now)
 
     def _build_load_hints(
@@ -267,5 +269,5 @@
         self._sent_at[near] = now
         hosts = self._members.list_hosts(now, near=near)
         if not near or hints.homes:
-            self._datagrams_left -= len(hosts)
+            self._datagram_budget -= len(hosts)
         self._link.send(hints, hosts, self._port)
