--- a/features/steps/gateway_load_steps.py
+++ b/features/steps/gateway_load_steps.py
@@ -93,7 +93,7 @@
     [state] = directory
     if known != "none":
         state.note_load(3, 0, NOW - float(known))
-    LoadGossip(directory).take_loads([LoadHint("s0", 9, round(told * 1000))], NOW)
+    LoadGossip(directory).apply_loads([LoadHint("s0", 9, round(told * 1000))], NOW)
     assert state.find_known_load(NOW) == load
 
 
@@ -113,7 +113,7 @@
     directory = build_directory(2)
     news = LoadGossip(directory)
     directory.find("s0").note_load(5, 1, NOW)
-    news.take_loads([LoadHint("s1", 4, 10)], NOW)
+    news.apply_loads([LoadHint("s1", 4, 10)], NOW)
     assert news.collect(NOW + 0.02).near == [LoadHint("s0", 6, 20)]
     assert news.collect(NOW + 0.03).near == []
 
@@ -249,7 +249,7 @@
     for text in read_names(told):
         vm, count, ago = text.split(":")
         hints = PeerHints(vm, [], waits=[WaitHint("s0", int(count))])
-        news.take(hints, NOW - float(ago))
+        news.apply(hints, NOW - float(ago))
     assert state.count_held(NOW) == held, state.count_held(NOW)
 
 
--- a/src/ramppin/gateway/process/load/gossip.py
+++ b/src/ramppin/gateway/process/load/gossip.py
@@ -79,15 +79,15 @@
         far = [hint for hint in near if hint.server in near_bound]
         return LoadUpdates(near, far, self._collect_waits(now))
 
-    def take(self, hints: PeerHints, now: float) -> None:
+    def apply(self, hints: PeerHints, now: float) -> None:
         """Take what another VM tells of loads."""
-        self.take_loads(hints.loads, now)
+        self.apply_loads(hints.loads, now)
         for hint in hints.waits:
             state = self._directory.find(hint.server)
             if state is not None and hint.count >= 0:
                 state.waiting.apply_peer_count(hints.vm, hint.count, now)
 
-    def take_loads(self, hints: Sequence[LoadHint], now: float) -> None:
+    def apply_loads(self, hints: Sequence[LoadHint], now: float) -> None:
         """Take the reports that another VM got."""
         for hint in hints:
             state = self._directory.find(hint.server)
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -135,7 +135,7 @@
             announcement = HomeAnnouncement(hint.key, hint.server, hint.age_ms / 1000)
             self._homes.apply_announcement(announcement, now)
         self._homes.hot.apply(hints.hot, now)
-        self._loads.take(hints, now)
+        self._loads.apply(hints, now)
         self._notices.apply(hints.leaving, now)
         self._notices.apply_backoffs(hints.vm, hints.backoffs, now)
         self._answer_suspects(hints, host, now)
