--- a/features/steps/gateway_server_rule_steps.py
+++ b/features/steps/gateway_server_rule_steps.py
@@ -230,7 +230,7 @@
     directory = build_directory("0 0 0 0 0 0")
     news = FailureGossip(directory, "a")
     for number in range(1, count + 1):
-        news.take([FailureHint("s0", 1)], "a", NOW + 0.01 * number)
+        news.apply([FailureHint("s0", 1)], "a", NOW + 0.01 * number)
         bad = find_failing_servers(list(directory), "a", 30.0, NOW + 0.01 * number)
         assert bool(bad) is (number >= needed), (number, bad)
 
@@ -239,7 +239,7 @@
 def step_tells_no_echo(context, server):
     directory = build_directory("1 1 1 1")
     news = FailureGossip(directory, "a")
-    news.take([FailureHint(server, 5)], "a", NOW)
+    news.apply([FailureHint(server, 5)], "a", NOW)
     assert directory.find(server).evidence.is_bad("a", 1.0, NOW)
     assert not news.collect(NOW + 0.1)
 
--- a/features/steps/platform_restart_steps.py
+++ b/features/steps/platform_restart_steps.py
@@ -86,7 +86,7 @@
         "vm-2", [], loads=[LoadHint(old_id, 9, 0)], waits=[WaitHint(old_id, 4)]
     )
     LoadGossip(directory).apply(hints, NOW)
-    FailureGossip(directory, "porto").take([FailureHint(old_id, 9)], "porto", NOW)
+    FailureGossip(directory, "porto").apply([FailureHint(old_id, 9)], "porto", NOW)
     context.homes.apply_announcement(HomeAnnouncement(7, old_id, 1.0), NOW)
     assert context.new.find_known_load(NOW) == 0
     assert not context.new.evidence.is_bad("porto", 1.0, NOW)
--- a/src/ramppin/gateway/process/routing/failuregossip.py
+++ b/src/ramppin/gateway/process/routing/failuregossip.py
@@ -48,7 +48,7 @@
         found.sort(key=lambda hint: -hint.count)
         return found[:SERVERS_PER_MESSAGE]
 
-    def take(
+    def apply(
         self, failures: Sequence[FailureHint], failure_domain: str, now: float
     ) -> None:
         """Take the failures that another VM saw.
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -141,7 +141,7 @@
         self._answer_suspects(hints, host, now)
         if hints.failures:
             domain = self._members.find_failure_domain(hints.vm)
-            self._servers.take(hints.failures, domain, now)
+            self._servers.apply(hints.failures, domain, now)
 
     def send_due(self, now: float) -> None:
         """Send what is due: all news and heartbeats, or loads alone."""
