--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -228,7 +228,7 @@
         LoadGossip(ServerDirectory()),
         lambda now: is_up,
     )
-    hints._told_log_up = not is_up
+    hints._sent_log_up = not is_up
     hints._sent_at = dict.fromkeys((True, False), float("inf"))
     hints.send_due(NOW)
     assert [up for up, _ in sent] == [is_up, is_up], sent
--- a/src/ramppin/gateway/process/load/gossip.py
+++ b/src/ramppin/gateway/process/load/gossip.py
@@ -63,8 +63,8 @@
 
     def __init__(self, directory: ServerDirectory) -> None:
         self._directory = directory
-        self._told_waits: dict[str, int] = {}
-        self._waits_told_at = NEVER
+        self._sent_waits: dict[str, int] = {}
+        self._waits_sent_at = NEVER
 
     def collect(self, now: float) -> LoadUpdates:
         """Return what is news since the last call: own answers' reports, and waits."""
@@ -108,11 +108,11 @@
             for state in self._directory
             if (count := state.count_overdue(now))
         }
-        is_same = waits == self._told_waits
-        if is_same and (not waits or now - self._waits_told_at < WAITS_AGAIN_S):
+        is_same = waits == self._sent_waits
+        if is_same and (not waits or now - self._waits_sent_at < WAITS_AGAIN_S):
             return []
-        over = dict.fromkeys(self._told_waits, 0)
-        self._told_waits, self._waits_told_at = waits, now
+        over = dict.fromkeys(self._sent_waits, 0)
+        self._sent_waits, self._waits_sent_at = waits, now
         most = sorted((over | waits).items(), key=lambda item: -item[1])
         return [WaitHint(*item) for item in most[:SERVERS_PER_MESSAGE]]
 
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -90,7 +90,7 @@
         self._is_log_up = is_log_up
         self._suspects = suspects or QuarantineGossip(Quarantine())
         self._notices = notices or NoticeGossip(ServerDirectory())
-        self._told_log_up = True
+        self._sent_log_up = True
         self._woken = asyncio.Event()
         self._suspects.watch(self._woken.set)
         self._notices.watch(self._woken.set)
@@ -205,11 +205,11 @@
         has_news = (
             bool(announcements or failures or loads.waits or hot or suspects)
             or self._notices.has_pending
-            or log_up != self._told_log_up
+            or log_up != self._sent_log_up
         )
         leaving = self._notices.collect(now)
         backoffs = self._notices.collect_backoffs(now)
-        self._told_log_up = log_up
+        self._sent_log_up = log_up
         for near, told in ((True, loads.near), (False, loads.far)):
             due_s = self._members.choose_heartbeat_s(near=near)
             waits = now - self._sent_at[near] < due_s
@@ -246,7 +246,7 @@
     ) -> PeerHints:
         digest = self._suspects.digest
         return PeerHints(
-            self._vm, [], self._told_log_up, [], loads, waits, quarantine_digest=digest
+            self._vm, [], self._sent_log_up, [], loads, waits, quarantine_digest=digest
         )
 
     def _answer_suspects(self, hints: PeerHints, host: str, now: float) -> None:
@@ -259,7 +259,7 @@
             hints = PeerHints(
                 self._vm,
                 [],
-                self._told_log_up,
+                self._sent_log_up,
                 suspects=suspects,
                 quarantine_digest=self._suspects.digest,
             )
