--- a/src/ramppin/gateway/process/load/gossip.py
+++ b/src/ramppin/gateway/process/load/gossip.py
@@ -21,7 +21,7 @@
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.serverstate import ServerState
 
-HIGH_SHARE = 0.8
+BROADCAST_SHARE = 0.8
 """Part of the bound from which on a report is told to all VMs: below it a server takes
 what comes, above it a few more requests put it past the bound. A lower part costs bytes
 between failure domains, and overruns no fewer servers."""
@@ -29,7 +29,7 @@
 SERVERS_PER_MESSAGE = 24
 """Servers in one message, 500 bytes: with the rest it is not split."""
 
-WAITS_AGAIN_S = 0.2
+WAITS_REPEAT_S = 0.2
 """Seconds after which overdue requests are told again though their number is the same:
 two messages within the time for which they count."""
 
@@ -109,7 +109,7 @@
             if (count := state.count_overdue(now))
         }
         is_same = waits == self._sent_waits
-        if is_same and (not waits or now - self._waits_sent_at < WAITS_AGAIN_S):
+        if is_same and (not waits or now - self._waits_sent_at < WAITS_REPEAT_S):
             return []
         over = dict.fromkeys(self._sent_waits, 0)
         self._sent_waits, self._waits_sent_at = waits, now
@@ -119,7 +119,7 @@
     def _list_near_bound(self, service: str, now: float) -> list[ServerState]:
         """Return the servers of a service whose newest report is near the bound."""
         states = self._directory.list_open(service)
-        limit = HIGH_SHARE * measure_loads(states, now).bound
+        limit = BROADCAST_SHARE * measure_loads(states, now).bound
         return [state for state in states if state.load.requests >= limit]
 
 
