--- a/bench/vms/clock.py
+++ b/bench/vms/clock.py
@@ -21,7 +21,7 @@
 from ramppin.gateway.process.recovery.replica import Record
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.failuregossip import FailureGossip
-from ramppin.gateway.process.routing.hints import SHORTEST_PERIOD_S, HintExchange
+from ramppin.gateway.process.routing.hints import MIN_PERIOD_S, HintExchange
 from ramppin.gateway.process.routing.homes import PrefixHomes
 from ramppin.gateway.process.routing.noticegossip import NoticeGossip
 
@@ -140,7 +140,7 @@
             choose: returns a number below 1, by which a VM's turns are shifted.
         """
         for vm in self.vms:
-            self.after(choose() * SHORTEST_PERIOD_S, self._take_turn, vm)
+            self.after(choose() * MIN_PERIOD_S, self._take_turn, vm)
 
     def plan_freezes(self, stalls: Iterable[Stall]) -> None:
         """Let VMs freeze and wake."""
@@ -193,7 +193,7 @@
 
     def _take_turn(self, vm: ModelVm) -> None:
         self.call_at_vm(vm, self._send_due, vm)
-        self.after(SHORTEST_PERIOD_S, self._take_turn, vm)
+        self.after(MIN_PERIOD_S, self._take_turn, vm)
 
     def _send_due(self, vm: ModelVm) -> None:
         vm.hints.send_due(self.now)
--- a/bench/vms/crashes.py
+++ b/bench/vms/crashes.py
@@ -20,7 +20,7 @@
 from ramppin.gateway.process.routing.hints import (
     DATAGRAMS_PER_S,
     MAX_BURST_DATAGRAMS,
-    SHORTEST_PERIOD_S,
+    MIN_PERIOD_S,
 )
 
 STEP_S = 0.005
@@ -102,7 +102,7 @@
     def __init__(self, vms: int, generator: random.Random) -> None:
         self.quarantine = Quarantine()
         self.news = QuarantineGossip(self.quarantine, generator)
-        self.period_s = max(SHORTEST_PERIOD_S, vms / DATAGRAMS_PER_S)
+        self.period_s = max(MIN_PERIOD_S, vms / DATAGRAMS_PER_S)
         self.due_at = generator.random() * self.period_s
         self.heartbeat_at = generator.random() * HEARTBEAT_S
         self.datagrams_left = float(MAX_BURST_DATAGRAMS)
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -28,7 +28,7 @@
 from ramppin.gateway.process.routing.homes import HomeAnnouncement, PrefixHomes
 from ramppin.gateway.process.routing.noticegossip import NoticeGossip
 
-SHORTEST_PERIOD_S = 0.08
+MIN_PERIOD_S = 0.08
 """Seconds between two messages to all VMs."""
 
 DATAGRAMS_PER_S = 100
@@ -104,19 +104,19 @@
         """Send hints until cancelled."""
         try:
             while True:
-                await self._wait_for_turn()
+                await self._wait_until_due()
                 self.send_due(asyncio.get_running_loop().time())
         finally:
             self._link.close()
 
-    async def _wait_for_turn(self) -> None:
+    async def _wait_until_due(self) -> None:
         """Wait for the next turn, or until something happens that all must know.
 
         Each copy of a request under which a server has ended ends another before the
         others know.
         """
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(SHORTEST_PERIOD_S):
+            async with asyncio.timeout(MIN_PERIOD_S):
                 await self._woken.wait()
         self._woken.clear()
 
@@ -174,11 +174,11 @@
         if now < self._loads_due_at:
             return False
         near = self._members.count(near=True)
-        self._loads_due_at = now + max(SHORTEST_PERIOD_S, near / LOAD_DATAGRAMS_PER_S)
+        self._loads_due_at = now + max(MIN_PERIOD_S, near / LOAD_DATAGRAMS_PER_S)
         return True
 
     def _choose_period(self) -> float:
-        return max(SHORTEST_PERIOD_S, len(self._members) / DATAGRAMS_PER_S)
+        return max(MIN_PERIOD_S, len(self._members) / DATAGRAMS_PER_S)
 
     def _may_broadcast(self) -> bool:
         """Return whether enough datagrams are left for a message to all VMs.
