--- a/src/ramppin/gateway/process/__init__.py
+++ b/src/ramppin/gateway/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a gateway process, by what is decided."""
+"""State and background work of a gateway process, in one package per decision."""
--- a/src/ramppin/gateway/process/config.py
+++ b/src/ramppin/gateway/process/config.py
@@ -1,6 +1,6 @@
-"""What one gateway VM must know to start, checked by whoever read it.
+"""Configuration of one gateway process, validated by the code that reads it.
 
-Filled from ramppin's own file (:mod:`~.settingsfile`) or by an adapter.
+Built from ramppin's own file format (:mod:`~.settingsfile`) or by an adapter.
 """
 
 from __future__ import annotations
@@ -23,31 +23,31 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayConfig:
-    """What one gateway VM must know to start.
+    """Configuration of one gateway process.
 
     Attributes:
-        vm: its name.
-        failure_domain: where it stands.
+        vm: name of the VM.
+        failure_domain: the failure domain in which it runs.
         callers: address for callers.
-        readiness: address where the balancer asks whether it is ready.
-        peers: address for hints from other VMs; the same port on every VM.
-        records: address where peers ask for records; the same port on every VM.
+        readiness: address for the load balancer's readiness probe.
+        peers: address for datagrams from other VMs; the same port on every VM.
+        records: address for peers' record requests; the same port on every VM.
         operations: address for operators; None for no such listener.
         seeds: addresses of some VMs of the fleet, which may be stale.
         names: names of headers.
-        ready_path: path of the readiness question.
+        ready_path: path of the readiness probe.
         settings_key: key of the record that holds the routing settings.
-        weight: this VM's capacity beside that of the others, in any unit.
+        weight: relative capacity of this VM, in any unit.
         server_pace_s: seconds between two reads of the backend servers' table; 0.8
             keeps a change within the bound of 2.
         settings_wait_s: longest wait in seconds of one read of the settings' table.
-        settings_bound_s: seconds in which accepted settings, and the emptying of a
-            failure domain, must be in force.
-        leaving_bound_s: seconds after which a leaving server gets no new work.
-        retry_rules: the fleet's budget of retries, and this VM's part.
-        cold_rules: what a cold server bears beside the rate that its service names.
-        drain_times: how long a planned stop may take.
-        seed: of the random numbers.
+        settings_bound_s: seconds within which accepted settings, and the evacuation
+            of a failure domain, must be in effect.
+        leaving_bound_s: seconds after which a leaving server gets no new requests.
+        retry_rules: the fleet's retry budget, and this VM's share.
+        cold_rules: limits for cold servers, in addition to the service's rate.
+        drain_times: time limits of a planned stop.
+        seed: seed of the random number generator.
     """
 
     vm: str
--- a/src/ramppin/gateway/process/context.py
+++ b/src/ramppin/gateway/process/context.py
@@ -1,7 +1,7 @@
-"""What all exchanges of a gateway process share.
+"""State and components that all exchanges of a gateway process share.
 
-Owns the settings in force and the count of requests in flight; holds the other
-parts of the process for exchanges to use. Decides nothing.
+Owns the routing settings in effect and the number of requests in flight, and references
+the other components of the process.
 """
 
 from __future__ import annotations
@@ -36,40 +36,40 @@
 from ramppin.gateway.version.routing import RoutingTable
 
 NEVER_S = 999_999.0
-"""Seconds that stand for an age without bound in log lines, which hold numbers."""
+"""Seconds that represent an unbounded age in lines and answers, which hold numbers."""
 
 LOG = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class GatewayContext:
-    """Parts and state that exchanges use.
+    """State and components that exchanges use.
 
     Attributes:
         names: names of headers.
-        decisions: where decision lines go.
+        decisions: log of decision lines.
         directory: the backend servers.
-        pool: connections to them.
-        prefix_selection: for routes whose servers cache prompts.
-        plain_selection: for all others.
-        generator: random numbers.
+        pool: connections to backend servers.
+        prefix_selection: strategy for routes whose servers cache prompts.
+        plain_selection: strategy for all other routes.
+        generator: random number generator.
         retry_budget: retries that this VM may make.
         cold_quota: requests that this VM may send to cold servers.
-        gate: tells which servers take requests now.
-        quarantine: requests under which servers end.
-        server_checks: tell whether a server to which a connection was lost has ended.
-        listener: what callers' connections share.
-        metrics: of the process.
+        gate: decides which servers accept requests now.
+        quarantine: decides which requests are refused because they crash servers.
+        server_checks: check whether a server terminated after a lost connection.
+        listener: state that callers' connections share.
+        metrics: metrics of the process.
         explanations: the decisions of the last requests.
-        table: the routing settings in force; None before the first.
-        drain: the planned stop that has begun, or None.
-        in_flight: exchanges that run.
-        failure_domain: where this VM stands.
-        live_vms: live VMs of the fleet, this one included.
-        servers_confirmed_at: returns the loop's time at which the list of
+        table: the routing settings in effect; None before the first.
+        drain: the planned stop in progress, or None.
+        in_flight: number of running exchanges.
+        failure_domain: the failure domain in which this VM runs.
+        live_vms: number of live VMs of the fleet, this one included.
+        servers_confirmed_at: returns the event-loop time at which the list of
             servers was last known to be current.
         first_read: set once settings and servers have been read, or could not be.
-        tasks: their tasks.
+        tasks: tasks of the running exchanges.
     """
 
     names: HeaderNames
@@ -102,15 +102,15 @@
 
     @property
     def version(self) -> int:
-        """The version of the settings in force; -1 before the first."""
+        """Version of the settings in effect; -1 before the first."""
         return self.table.version if self.table else -1
 
     def measure_servers_age(self, now: float) -> float:
-        """Return how long ago the list of servers was known to be current."""
+        """Return the seconds since the list of servers was known to be current."""
         return round(min(NEVER_S, now - self.servers_confirmed_at()), 2)
 
     def share_connections(self, service: str) -> int | None:
-        """Return this VM's share of a server's connections; None if unlimited."""
+        """Return this VM's share of a server's connections; None for no limit."""
         spec = self.table.services.get(service) if self.table else None
         if spec is None:
             return None
@@ -119,10 +119,10 @@
     def find_failing_servers(
         self, service: str, states: Sequence[ServerState], now: float
     ) -> frozenset[str]:
-        """Return the ids of servers that the fleet sees failing.
+        """Return the ids of servers that fail the fleet's requests.
 
-        The fleet's requests are worked out from this VM's own: callers spread evenly
-        enough over VMs.
+        The fleet's request rate is extrapolated from this VM's own, because callers
+        are distributed evenly enough over VMs.
         """
         own_per_s = self.retry_budget.measure_requests_per_s(service, now)
         return find_failing_servers(
@@ -130,16 +130,16 @@
         )
 
     def find_cold_rate(self, service: str) -> float:
-        """Return how many requests a second a cold server takes; 0 for any number."""
+        """Return the requests a second that a cold server accepts; 0 for no limit."""
         spec = self.table.services.get(service) if self.table else None
         return spec.cold_per_s if spec else 0.0
 
     def choose_strategy(self, keeps_prefix: bool) -> SelectionStrategy:
-        """Return the strategy for a request."""
+        """Return the selection strategy for a request."""
         return self.prefix_selection if keeps_prefix else self.plain_selection
 
     def finish_task(self, task: asyncio.Task[None]) -> None:
-        """Forget an exchange's task; log what it did not catch."""
+        """Remove the task of a finished exchange, and log an uncaught exception."""
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             LOG.error("exchange failed", exc_info=task.exception())
--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -1,8 +1,8 @@
-"""One gateway process: builds its parts, listens, and stops.
+"""Gateway process: builds its components, runs its listeners, and stops.
 
-A gateway passes HTTP requests through unchanged to the backend servers of
-their route's service. It keeps nothing on its VM: settings and backend servers
-come from a shared log, or from peers while the log is away. Requests are served by
+A gateway forwards HTTP requests unchanged to the backend servers of the service of
+their route. It stores nothing on its VM: settings and backend servers come from a
+shared log, or from peers while the log is unavailable. Requests are handled by
 :mod:`ramppin.gateway.request.exchange`.
 """
 
@@ -49,17 +49,17 @@
 from ramppin.gateway.request.responder import ExchangeResponder
 
 SWEEP_S = 0.25
-"""Seconds between two checks of idle connections, missing servers and lines to write:
-short beside the times that they are measured against."""
+"""Interval in seconds of checks for idle connections, missing servers and pending
+decision lines, much shorter than the time limits that they enforce."""
 
 REFILL_S = 1.0
-"""Seconds after which the decision log may write its lines for a second again."""
+"""Interval in seconds at which the rate limit of the decision log is refilled."""
 
 LISTEN_BACKLOG = 1024
-"""Connections that the kernel keeps until they are accepted."""
+"""Maximum connections that the kernel queues until they are accepted."""
 
 MAX_LOGGED_BYTES = 100
-"""Bytes of a refused request's target that are logged."""
+"""Maximum logged bytes of a refused request's target."""
 
 ResponderBuilder = Callable[[CallerConnection], Responder]
 
@@ -70,10 +70,11 @@
     """A gateway process.
 
     Args:
-        config: the process's own settings.
-        sources: where its tables lie.
-        decisions: where decision lines go.
-        callers_socket: listens for callers already; None to open one at the start.
+        config: configuration of the process.
+        sources: sources of its tables.
+        decisions: log of decision lines.
+        callers_socket: socket that already listens for callers; None to open one at
+            the start.
 
     .. versionadded:: 0.2
     """
@@ -120,33 +121,33 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the load balancer should send callers to this VM."""
         context = self.context
         known = context.table is not None and self.tables.servers.started
         return known and context.drain is None
 
     @property
     def caller_port(self) -> int:
-        """The port on which callers are served."""
+        """Port for callers."""
         return self._find_port("callers")
 
     @property
     def readiness_port(self) -> int:
-        """The port on which the balancer asks whether this VM is ready."""
+        """Port for the load balancer's readiness probe."""
         return self._find_port("readiness")
 
     @property
     def records_port(self) -> int:
-        """The port on which peers ask for records."""
+        """Port for peers' record requests."""
         return self._find_port("records")
 
     @property
     def operations_port(self) -> int:
-        """The port on which operators are answered."""
+        """Port for operators."""
         return self._find_port("operations")
 
     async def start(self) -> None:
-        """Listen, and begin to follow the log."""
+        """Start the listeners and the background tasks, which follow the log."""
         config = self.config
         await self._listen_for_callers()
         await self._listen("readiness", config.readiness, self._build_readiness)
@@ -175,9 +176,9 @@
         self.context.decisions.note("started", peers=link.port, **ports)
 
     def reload(self, config: GatewayConfig) -> None:
-        """Take what may change while a gateway runs: budgets and drain times.
+        """Apply settings that can change at run time: retry rules and drain times.
 
-        Addresses and names stay until the process starts again.
+        Changes of addresses and names require a restart.
         """
         self.config = replace(
             self.config,
@@ -192,7 +193,7 @@
         )
 
     def start_drain(self) -> None:
-        """Begin a planned stop; a second call changes nothing."""
+        """Start a planned stop; a second call has no effect."""
         if self.context.drain is not None:
             return
         self.context.decisions.note("draining", in_flight=self.context.in_flight)
@@ -202,7 +203,7 @@
         self._stopping = asyncio.create_task(self._finish_and_stop(drain))
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop immediately, without waiting for requests in flight."""
         for task in self._background:
             task.cancel()
         for server in self._servers.values():
@@ -231,7 +232,7 @@
         )
 
     async def _listen_for_callers(self) -> None:
-        """Take the socket that listens already, or open one."""
+        """Use the listening socket that was passed in, or open one."""
         if self._callers_socket is None:
             await self._listen("callers", self.config.callers, self._build_exchanges)
             return
@@ -242,7 +243,7 @@
         )
 
     async def _listen_for_operators(self) -> None:
-        """Listen for operators; a gateway serves callers without them as well."""
+        """Listen for operators; on failure the gateway serves callers without it."""
         address = self.config.operations
         if address is None:
             return
@@ -278,7 +279,7 @@
         )
 
     def _note_refused(self, refusal: Refusal) -> None:
-        """Write a line about a request that was refused before it was read."""
+        """Write a decision line for a request that was refused before it was read."""
         found = find_header(refusal.headers, self.config.names.request_id)
         self.context.decisions.note(
             "refused",
@@ -294,7 +295,7 @@
             self._hints.apply(hints, host, asyncio.get_running_loop().time())
 
     async def _sweep(self) -> None:
-        """Close what is idle too long, and write decision lines."""
+        """Run periodic checks, evict expired state and write decision lines."""
         loop = asyncio.get_running_loop()
         context = self.context
         notices = NoticeLines(context)
@@ -321,11 +322,11 @@
         return self.tables.list_sharing_vms(now)
 
     def _note_tick(self, late_s: float, now: float) -> None:
-        """Tell that this process got its turn late: its machine stalled, or its loop.
+        """Record a late tick, caused by a stall of the machine or of the event loop.
 
         Args:
-            late_s: seconds since the turn was due.
-            now: the loop's time.
+            late_s: delay of the tick in seconds.
+            now: event-loop time.
         """
         if late_s < STALL_S:
             return
@@ -338,6 +339,6 @@
 
 
 def _log_end(task: asyncio.Task[None]) -> None:
-    """Log a task that should have run on, or failed."""
+    """Log the exception of a background task that failed."""
     if not task.cancelled() and task.exception() is not None:
         LOG.error("a background task failed", exc_info=task.exception())
--- a/src/ramppin/gateway/process/operations.py
+++ b/src/ramppin/gateway/process/operations.py
@@ -1,7 +1,7 @@
-"""What operators may ask one gateway process: metrics, state, explanations.
+"""Operators' interface of one gateway process: metrics, state and explanations.
 
-Reads the process's parts and changes none, but for a request that is let run again. No
-key of a caller is in any answer. The keys of the answers are an interface of operators
+Read-only, except that an operator can clear a quarantined request. Responses never
+contain a caller's key. The keys of the JSON responses are a stable interface
 (features/interfaces).
 """
 
@@ -27,21 +27,21 @@
 DUMP_TARGET = b"/dump"
 EXPLAIN_PREFIX = b"/explain/"
 CLEAR_PREFIX = b"/quarantine/clear/"
-"""Followed by a fingerprint; with POST alone, since it changes what is done."""
+"""Followed by a fingerprint; accepts only POST, because it changes state."""
 
 MAX_SUSPECTS = 100
-"""Requests under which servers ended that a dump lists: those that are refused, and the
-newest of the others."""
+"""Maximum requests with recorded terminations in a dump: first the quarantined ones,
+then the newest of the others."""
 
 
 class GatewayState:
     """Gathers the state of a process.
 
     Args:
-        context: what exchanges share.
-        tables: the replicas and what keeps them current.
+        context: shared state of the process.
+        tables: the replicas and their followers.
         list_peers: returns the addresses of peers.
-        count_homes: returns how many prefixes have a known server.
+        count_homes: returns the number of prefixes that have a home.
 
     .. versionadded:: 0.2
     """
@@ -59,7 +59,7 @@
         self._count_homes = count_homes
 
     def build_dump(self, now: float) -> dict[str, object]:
-        """Return the state, ready for JSON; times are ages in seconds."""
+        """Return the state as JSON-compatible values; times are ages in seconds."""
         context = self._context
         return {
             "version": context.version,
@@ -106,14 +106,14 @@
             "load": state.find_known_load(now),
             "report_age_s": _shorten(state.load.measure_age(now)),
             "failure_rate": round(state.health.failure_rate, 2),
-            # The key's name is older than the code's word for it.
+            # Public name of the suspect state, kept for operators' tools.
             "aside": state.health.is_suspect(now),
             "shedding_s": _shorten(state.shedding.measure_backoff_s(now)),
             "cold_s": _shorten(state.coldness.measure_remaining_s(now)),
         }
 
     def clear(self, fingerprint: int, now: float) -> bool:
-        """Let a request run again; return whether anything was known against it."""
+        """Clear a request; return whether any termination was recorded for it."""
         return self._context.quarantine.clear(fingerprint, now)
 
     def _list_suspects(self, now: float) -> list[dict[str, object]]:
@@ -133,7 +133,7 @@
         ]
 
     def update(self, metrics: GatewayMetrics, now: float) -> None:
-        """Set the gauges."""
+        """Update the gauges from the current state."""
         context = self._context
         metrics.in_flight.set(context.in_flight)
         metrics.version.set(context.version)
@@ -160,12 +160,12 @@
 
 
 class OperationsResponder(Responder):
-    """Answers operators.
+    """Responds to operators' requests.
 
     Args:
         connection: the operator's connection.
-        state: gathers the state.
-        metrics: the process's metrics.
+        state: state of the process.
+        metrics: metrics of the process.
         explanations: the decisions of the last requests.
 
     .. versionadded:: 0.2
@@ -184,7 +184,7 @@
         self._explanations = explanations
 
     def accept_request(self, request: CallerRequest) -> None:
-        """Answer at once."""
+        """Respond to a request immediately."""
         now = asyncio.get_running_loop().time()
         if request.target == METRICS_TARGET:
             self._state.update(self._metrics, now)
@@ -202,13 +202,13 @@
             self._connection.send_answer(404, [], b"")
 
     def accept_disconnect(self) -> None:
-        """Nothing is in flight here."""
+        """Do nothing, as no request is pending here."""
 
     def accept_backpressure(self, *, paused: bool) -> None:
-        """Answers here are small."""
+        """Do nothing, as responses here are small."""
 
     def _clear(self, request: CallerRequest, now: float) -> None:
-        """Let a request run again, if it is asked for in due form."""
+        """Clear a quarantined request if method and fingerprint are valid."""
         if request.method != b"POST":
             self._connection.send_answer(405, [(b"Allow", b"POST")], b"")
             return
--- a/src/ramppin/gateway/process/settingsfile.py
+++ b/src/ramppin/gateway/process/settingsfile.py
@@ -1,6 +1,6 @@
-"""The settings of one gateway process in ramppin's own words.
+"""Settings of one gateway process in ramppin's own file format.
 
-Read from a file of JSON with comments; see examples/gateway.jsonc.
+The file is JSON with comments; see examples/gateway.jsonc.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 
 
 class GatewayFile(BaseModel):
-    """What a gateway must know to start.
+    """Contents of a gateway's settings file.
 
     Attributes:
-        vm: the VM's name.
-        failure_domain: where it stands.
+        vm: name of the VM.
+        failure_domain: the failure domain in which it runs.
         host: address of its listeners.
-        caller_port: for callers; 0 picks a free one.
-        readiness_port: for the balancer's question, ``GET /ready``.
-        operations_port: for metrics, state and explanations.
-        peer_port: for hints from other VMs.
-        records_port: for peers that lack the log.
-        tables: file that holds routing settings and backend servers, from the
-            folder of this file.
+        caller_port: port for callers; 0 picks a free one.
+        readiness_port: port for the load balancer's probe, ``GET /ready``.
+        operations_port: port for metrics, state and explanations.
+        peer_port: port for datagrams from other VMs.
+        records_port: port for record requests of peers that can't reach the log.
+        tables: file with routing settings and backend servers, relative to the
+            directory of this file.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -60,7 +60,7 @@
 
 
 def load_gateway_file(path: Path) -> Result[GatewayFile, SettingsError]:
-    """Read a gateway's settings; a relative ``tables`` starts at their folder."""
+    """Read a gateway's settings; ``tables`` is relative to the file's directory."""
 
     def place(found: GatewayFile) -> GatewayFile:
         tables = path.parent / found.tables
--- a/src/ramppin/gateway/process/stalldetector.py
+++ b/src/ramppin/gateway/process/stalldetector.py
@@ -1,31 +1,32 @@
-"""Whether this process gets its turns, or has just stalled.
+"""Detects stalls of this process by late ticks of its event loop.
 
-A process whose machine stalls, or that is stopped, finds when it goes on that no server
-has sent anything for long: its timers may run before its reads, while the bytes lie in
-the sockets. Nothing may be concluded from silence then. Owns the times of the
-process's regular turns; who judges silence asks here. No I/O.
+When a process resumes after a stall of its machine or a suspension, its timers may run
+before its reads, while received bytes are still in the sockets. All servers then seem
+silent, so no conclusion may be drawn from silence. Owns the times of the regular ticks;
+code that evaluates silence checks here first. No I/O.
 """
 
 from __future__ import annotations
 
 STALL_S = 0.1
-"""Seconds by which a turn is late from which on a process counts as stalled: about the
-time in which VMs tell each other loads. For as long it then reads what came since."""
+"""Delay of a tick in seconds from which the process counts as stalled: about the time
+in which VMs report loads to each other. It counts as behind for as long afterwards,
+while it reads what arrived."""
 
 LONG_STALL_S = 1.0
-"""Seconds of a stall after which what this VM knows may be out of date: servers turn
-cold, leave or are emptied in that time, and the others know it."""
+"""Stall in seconds after which this VM's state may be out of date: servers may become
+cold, leave or be evacuated in that time, and the other VMs already have that state."""
 
 CATCH_UP_S = 0.2
-"""Seconds after a long stall in which this VM reads what it missed: some ways to a peer
-and back."""
+"""Seconds after a long stall in which this VM reads what it missed: several round trips
+to a peer."""
 
 
 class StallDetector:
-    """The regular turns of a process.
+    """Detects stalls by the regular ticks of a process.
 
     Args:
-        period_s: seconds from the end of one turn to the next.
+        period_s: seconds from one tick to the next.
 
     .. versionadded:: 0.3
     """
@@ -37,7 +38,7 @@
         self._caught_up_at = float("-inf")
 
     def note_tick(self, now: float) -> float:
-        """Note a turn, and return by how many seconds it is late."""
+        """Record a tick, and return its delay in seconds."""
         late_s = 0.0 if self._due_at is None else max(0.0, now - self._due_at)
         self._due_at = now + self._period_s
         if late_s >= STALL_S:
@@ -47,18 +48,17 @@
         return late_s
 
     def measure_catch_up_s(self, now: float) -> float:
-        """Return for how many seconds nothing should be sent: 0 but after a long stall.
+        """Return for how many seconds to send nothing; 0 except after a long stall.
 
-        A VM that wakes finds what its callers sent meanwhile; sent on at one moment, by
-        what it knew before, that overruns servers and reaches those that must get
-        nothing.
+        Requests of callers accumulate during a stall. Forwarding them all at once, on
+        outdated state, would overload servers and reach some that must get nothing.
         """
         if self._due_at is not None and now - self._due_at >= LONG_STALL_S:
             return CATCH_UP_S
         return max(0.0, self._caught_up_at - now)
 
     def is_behind(self, now: float) -> bool:
-        """Return whether the process has stalled, or has not read all since it did."""
+        """Return whether the process is stalled, or has not caught up on its reads."""
         if self._due_at is None:
             return False
         return now < self._behind_until or now - self._due_at >= STALL_S
