--- a/src/ramppin/gateway/process/gateway.py
+++ b/src/ramppin/gateway/process/gateway.py
@@ -154,7 +154,7 @@
         await self._listen("records", config.records, self._build_records)
         await self._listen_for_operators()
         link = await DatagramLink.open(
-            config.peers.host, config.peers.port, self._take_hints
+            config.peers.host, config.peers.port, self._apply_hints
         )
         self._hints = HintExchange(
             config.vm,
@@ -170,7 +170,7 @@
         )
         for work in (*self.tables.list_work(), self._hints.run(), self._sweep()):
             task = asyncio.create_task(work)
-            task.add_done_callback(_log_end)
+            task.add_done_callback(_log_failure)
             self._background.append(task)
         ports = {name: self._find_port(name) for name in self._servers}
         self.context.decisions.note("started", peers=link.port, **ports)
@@ -290,7 +290,7 @@
             version=self.context.version,
         )
 
-    def _take_hints(self, hints: PeerHints, host: str) -> None:
+    def _apply_hints(self, hints: PeerHints, host: str) -> None:
         if self._hints is not None:
             self._hints.apply(hints, host, asyncio.get_running_loop().time())
 
@@ -338,7 +338,7 @@
         )
 
 
-def _log_end(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     """Log the exception of a background task that failed."""
     if not task.cancelled() and task.exception() is not None:
         LOG.error("a background task failed", exc_info=task.exception())
--- a/src/ramppin/gateway/process/settingsfile.py
+++ b/src/ramppin/gateway/process/settingsfile.py
@@ -62,12 +62,12 @@
 def load_gateway_file(path: Path) -> Result[GatewayFile, SettingsError]:
     """Read a gateway's settings; ``tables`` is relative to the file's directory."""
 
-    def place(found: GatewayFile) -> GatewayFile:
+    def resolve_tables(found: GatewayFile) -> GatewayFile:
         tables = path.parent / found.tables
         return found.model_copy(update={"tables": tables})
 
     return (
         read_document(path)
         .bind(lambda document: validate_document(GatewayFile, document, str(path)))
-        .map(place)
+        .map(resolve_tables)
     )
