--- a/bench/vms/shedding.py
+++ b/bench/vms/shedding.py
@@ -21,7 +21,7 @@
 from ramppin.gateway.process.routing.prefixselection import PrefixSelection
 from ramppin.gateway.process.routing.selection import SelectionRequest
 from ramppin.gateway.process.routing.serverstate import BackendServer, ServerState
-from ramppin.gateway.request.retry import MAX_TURNED_AWAY
+from ramppin.gateway.request.retry import MAX_BACKOFF_REFUSALS
 
 SERVICE = "model"
 WORK_S = 0.3
@@ -112,7 +112,7 @@
         survey = self._gates[vm.name].survey(SERVICE, self.now)
         request = SelectionRequest(key, frozenset(survey.closed) | tried)
         selection = self._strategies[vm.name].choose(request, survey.states, self.now)
-        if selection is None or len(tried) >= MAX_TURNED_AWAY:
+        if selection is None or len(tried) >= MAX_BACKOFF_REFUSALS:
             self.refused += 1
             return
         state = selection.state
--- a/features/steps/server_word_steps.py
+++ b/features/steps/server_word_steps.py
@@ -151,5 +151,5 @@
     "{allowed}"
 )
 def step_tries(context, tries, away, allowed):
-    progress = Progress(tries=tries, turned_away=away)
+    progress = Progress(tries=tries, backoff_refusals=away)
     assert judge_try(progress, 5.0).allows == is_yes(allowed)
--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -183,7 +183,7 @@
             now = self._loop.time()
             watch.note_attempt(selection.state, last, started, now)
             if last.notice.backoff_s > 0:
-                self._progress.turned_away += 1
+                self._progress.backoff_refusals += 1
             if last.end is AttemptEnd.DELIVERED or self._disconnected:
                 self._report.note_attempt(admission, selection, last, now)
                 status = 0 if self._disconnected else last.status
--- a/src/ramppin/gateway/request/retry.py
+++ b/src/ramppin/gateway/request/retry.py
@@ -25,7 +25,7 @@
 """Servers that one request may try, failed connections included, and those left out
 that turned it away for a time of rest."""
 
-MAX_TURNED_AWAY = 8
+MAX_BACKOFF_REFUSALS = 8
 """Servers that may turn one request away for a time of rest. Each costs milliseconds
 and is closed from then on, so trying on serves the requests that come after as well."""
 
@@ -39,13 +39,13 @@
 
     Attributes:
         tries: servers tried, failed connections included.
-        turned_away: those of them that turned it away for a time of rest.
+        backoff_refusals: those of them that turned it away for a time of rest.
         runs: attempts that a server may have run.
         answer_started: whether the caller has got a part of an answer.
     """
 
     tries: int = 0
-    turned_away: int = 0
+    backoff_refusals: int = 0
     runs: int = 0
     answer_started: bool = False
 
@@ -95,16 +95,16 @@
     """
     if is_quarantined:
         return Verdict.QUARANTINED
-    if progress.tries - progress.turned_away >= MAX_TRIES:
+    if progress.tries - progress.backoff_refusals >= MAX_TRIES:
         return Verdict.TRIES_SPENT
-    if progress.turned_away >= MAX_TURNED_AWAY:
+    if progress.backoff_refusals >= MAX_BACKOFF_REFUSALS:
         return Verdict.TRIES_SPENT
     if time_left_s < MIN_TIME_LEFT_S:
         return Verdict.TIME_SPENT
     return Verdict.SEND
 
 
-def judge_none_left(reasons: Collection[ClosureReason]) -> Verdict:
+def judge_no_server(reasons: Collection[ClosureReason]) -> Verdict:
     """Return why no server is left to choose from.
 
     Args:
--- a/src/ramppin/gateway/request/serverchoice.py
+++ b/src/ramppin/gateway/request/serverchoice.py
@@ -16,7 +16,7 @@
 from ramppin.gateway.process.routing.serverstate import ServerState
 from ramppin.gateway.request.admission import Admission
 from ramppin.gateway.request.crashwatch import CrashWatch
-from ramppin.gateway.request.retry import Verdict, judge_none_left
+from ramppin.gateway.request.retry import Verdict, judge_no_server
 from ramppin.gateway.request.retryafter import (
     choose_retry_after_s,
     find_opening_s,
@@ -62,7 +62,7 @@
         strategy = context.choose_strategy(prefix_key is not None)
         selection = strategy.choose(request, survey.states, now)
         if selection is None:
-            return judge_none_left(survey.list_reasons(self._tried))
+            return judge_no_server(survey.list_reasons(self._tried))
         self._tried.add(selection.state.id)
         context.cold_quota.note_sent(selection.state.id)
         return replace(selection, closed=self.closed)
