--- a/src/ramppin/gateway/request/retryafter.py
+++ b/src/ramppin/gateway/request/retryafter.py
@@ -13,24 +13,24 @@
 
 from ramppin.gateway.process.routing.serverstate import ServerState
 
-SHORTEST_S = 0.1
+MIN_PAUSE_S = 0.1
 """Seconds of the shortest pause, where a server is open now: a few answers of a server,
 so that the place that was missing is free."""
 
-NO_SERVER_S = 0.5
+NO_SERVER_PAUSE_S = 0.5
 """Seconds until a service without servers is looked at again: its list is read each 0.8
 to 1.8 s."""
 
-SPREAD = 0.5
+JITTER_SHARE = 0.5
 """Part of the pause by which it is spread."""
 
 RANK_STEP = 0.25
 """Part of the pause by which each rank of priority adds to it."""
 
-LAST_RANK = 3
+MAX_RANK = 3
 """Rank from which on all wait alike."""
 
-LONGEST_SHARE = 1 / 3
+MAX_TIME_SHARE = 1 / 3
 """Part of the time left that a pause may take."""
 
 START_PAUSE_S = 0.5
@@ -50,7 +50,7 @@
         now: the loop's time.
     """
     if not states:
-        return NO_SERVER_S
+        return NO_SERVER_PAUSE_S
     return min(
         max(
             state.health.measure_remaining_ejection_s(now),
@@ -72,7 +72,7 @@
     """
     if time_left_s is None:
         return START_PAUSE_S
-    return max(0.0, LONGEST_SHARE * time_left_s)
+    return max(0.0, MAX_TIME_SHARE * time_left_s)
 
 
 def choose_retry_after_s(
@@ -93,9 +93,9 @@
         closed_s: seconds for which every server is known to be closed; 0 if one may
             be open before. A caller that comes back within them is refused again.
     """
-    base_s = max(SHORTEST_S, opening_s)
-    factor = 1 + RANK_STEP * min(max(rank, 0), LAST_RANK) + SPREAD * point
+    base_s = max(MIN_PAUSE_S, opening_s)
+    factor = 1 + RANK_STEP * min(max(rank, 0), MAX_RANK) + JITTER_SHARE * point
     if closed_s > 0:
         after_s = max(0.0, time_left_s - closed_s)
-        return closed_s + min((factor - 1) * base_s, LONGEST_SHARE * after_s)
-    return max(0.0, min(base_s * factor, LONGEST_SHARE * time_left_s))
+        return closed_s + min((factor - 1) * base_s, MAX_TIME_SHARE * after_s)
+    return max(0.0, min(base_s * factor, MAX_TIME_SHARE * time_left_s))
