--- a/src/ramppin/gateway/process/operations.py
+++ b/src/ramppin/gateway/process/operations.py
@@ -21,7 +21,7 @@
 from ramppin.gateway.process.reporting.metrics import GatewayMetrics
 from ramppin.gateway.process.routing.closure import ClosureReason
 from ramppin.gateway.process.routing.serverstate import ServerState
-from ramppin.gateway.request.fingerprint import read_fingerprint, show_fingerprint
+from ramppin.gateway.request.fingerprint import format_fingerprint, parse_fingerprint
 
 METRICS_TARGET = b"/metrics"
 DUMP_TARGET = b"/dump"
@@ -122,7 +122,7 @@
         found.sort(key=lambda item: (not item[1].is_quarantined, -item[1].last_end_at))
         return [
             {
-                "fingerprint": show_fingerprint(fingerprint),
+                "fingerprint": format_fingerprint(fingerprint),
                 "ends": len(record.ends),
                 "counted": record.count_ends(),
                 "refused_s": _shorten(record.measure_remaining_refusal_s(now)),
@@ -213,7 +213,7 @@
             self._connection.send_answer(405, [(b"Allow", b"POST")], b"")
             return
         text = request.target[len(CLEAR_PREFIX) :].decode("latin-1")
-        fingerprint = read_fingerprint(text)
+        fingerprint = parse_fingerprint(text)
         if fingerprint is None:
             message = b"a fingerprint is 16 hex digits, as lines show it\n"
             self._connection.send_answer(400, [], message)
--- a/src/ramppin/gateway/process/reporting/quarantinelines.py
+++ b/src/ramppin/gateway/process/reporting/quarantinelines.py
@@ -4,7 +4,7 @@
 
 from ramppin.gateway.process.context import GatewayContext
 from ramppin.gateway.process.quarantine.quarantine import QuarantineChange
-from ramppin.gateway.request.fingerprint import show_fingerprint
+from ramppin.gateway.request.fingerprint import format_fingerprint
 
 
 def note_quarantine(context: GatewayContext, now: float) -> None:
@@ -18,7 +18,7 @@
         context.metrics.quarantine_changes.inc(change.kind.value)
         context.decisions.note(
             change.kind.value,
-            fingerprint=show_fingerprint(change.fingerprint),
+            fingerprint=format_fingerprint(change.fingerprint),
             ends=_show_ends(change, now),
             version=context.version,
         )
--- a/src/ramppin/gateway/request/fingerprint.py
+++ b/src/ramppin/gateway/request/fingerprint.py
@@ -38,11 +38,11 @@
     return hasher.intdigest()
 
 
-def read_fingerprint(text: str) -> int | None:
+def parse_fingerprint(text: str) -> int | None:
     """Return the fingerprint that lines show as a text; None if it is none."""
     return int(text, 16) if _SHOWN.fullmatch(text) else None
 
 
-def show_fingerprint(fingerprint: int) -> str:
+def format_fingerprint(fingerprint: int) -> str:
     """Return a fingerprint as lines and operators write it: 16 hex digits."""
     return f"{fingerprint:016x}"
--- a/src/ramppin/gateway/request/report.py
+++ b/src/ramppin/gateway/request/report.py
@@ -12,7 +12,7 @@
 from ramppin.gateway.process.routing.selection import Selection
 from ramppin.gateway.request.admission import Admission, Denial
 from ramppin.gateway.request.finalanswer import FinalAnswer
-from ramppin.gateway.request.fingerprint import show_fingerprint
+from ramppin.gateway.request.fingerprint import format_fingerprint
 from ramppin.gateway.request.result import AttemptEnd, AttemptResult
 from ramppin.gateway.request.retry import Progress, Verdict
 
@@ -78,11 +78,11 @@
         """
         fields: dict[str, object] = {
             "request_id": self._request_id,
-            "fingerprint": show_fingerprint(admission.fingerprint),
+            "fingerprint": format_fingerprint(admission.fingerprint),
             "route": admission.route.name,
             "version": admission.table.version,
             "server": selection.state.server.name,
-            "prefix": _show_prefix(admission.prefix_key),
+            "prefix": _format_prefix(admission.prefix_key),
             "copy_from": selection.copy_from or "",
             "rank": selection.rank,
             "shared_by": selection.shared_by,
@@ -134,7 +134,7 @@
         context = self._context
         fields: dict[str, object] = {
             "request_id": self._request_id,
-            "fingerprint": show_fingerprint(admission.fingerprint),
+            "fingerprint": format_fingerprint(admission.fingerprint),
             "route": admission.route.name,
             "version": admission.table.version,
             "ending": final.ending.name.lower(),
@@ -179,7 +179,7 @@
     return None if seconds is None else round(seconds * 1000)
 
 
-def _show_prefix(key: int | None) -> str:
+def _format_prefix(key: int | None) -> str:
     """Return the key of a prompt's prefix as hex digits; empty if there is none."""
     return "" if key is None else f"{key:016x}"
 
