--- a/src/ramppin/gateway/request/attempt.py
+++ b/src/ramppin/gateway/request/attempt.py
@@ -37,7 +37,7 @@
 """Bytes of a whole answer that are kept before it is passed on in pieces: until then a
 failure can still be answered or tried again."""
 
-STALL_CHECK_S = 0.2
+RESPONSE_CHECK_S = 0.2
 """Seconds between two checks of whether the server is unresponsive; a quarter of the
 time after which it is."""
 
@@ -100,7 +100,7 @@
         self._sent_at = 0.0
         self._received_at = 0.0
         self._paused = False
-        self._stall_timer: asyncio.TimerHandle | None = None
+        self._check_timer: asyncio.TimerHandle | None = None
         self.started: bool = previous.started if previous else False
         self._events: EventSplitter | None = None
         if resumable:
@@ -133,7 +133,7 @@
         self._sent_at = self._received_at
         self._state.waiting.note_sent(self, self._sent_at)
         timer = self._loop.call_at(ends_at, self.cancel, AttemptEnd.TIMED_OUT)
-        self._check_stall()
+        self._check_unresponsive()
         try:
             connection.send(
                 head, request.body, self, head_request=request.method == b"HEAD"
@@ -144,8 +144,8 @@
         finally:
             self._state.note_ended(self, self._loop.time())
             timer.cancel()
-            if self._stall_timer is not None:
-                self._stall_timer.cancel()
+            if self._check_timer is not None:
+                self._check_timer.cancel()
 
     def cancel(self, end: AttemptEnd) -> None:
         """Give the attempt up; the server sees its connection close."""
@@ -294,7 +294,7 @@
 
     # the server's health and load
 
-    def _check_stall(self) -> None:
+    def _check_unresponsive(self) -> None:
         """Give a server up that is unresponsive or has started again.
 
         Only if another can take over.
@@ -308,7 +308,9 @@
         if is_stalled and not self._paused and self._may_take_over():
             self._fail("the server went silent")
             return
-        self._stall_timer = self._loop.call_later(STALL_CHECK_S, self._check_stall)
+        self._check_timer = self._loop.call_later(
+            RESPONSE_CHECK_S, self._check_unresponsive
+        )
 
     def _note_received(self, *, due: bool) -> None:
         """Note bytes, or the end of what was awaited.
--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -318,7 +318,7 @@
         return judge_takeover(
             admission.route,
             self._progress,
-            has_other_server=choice.has_other(now),
+            has_other_server=choice.has_other_server(now),
             has_budget=self._context.retry_budget.allows_retry(admission.service, now),
         )
 
--- a/src/ramppin/gateway/request/serverchoice.py
+++ b/src/ramppin/gateway/request/serverchoice.py
@@ -82,7 +82,7 @@
             return f"the server closed meanwhile: {closure.reason.value}"
         return "" if self._watch.may_try(now) else "servers ended under it meanwhile"
 
-    def has_other(self, now: float) -> bool:
+    def has_other_server(self, now: float) -> bool:
         """Return whether a server is open, untried and not suspect."""
         survey = self._context.gate.survey(self._admission.service, now)
         return has_healthy_server(survey.list_open(), self._tried, now)
