--- a/bench/vms/crashes.py
+++ b/bench/vms/crashes.py
@@ -101,7 +101,7 @@
 
     def __init__(self, vms: int, generator: random.Random) -> None:
         self.quarantine = Quarantine()
-        self.news = QuarantineGossip(self.quarantine, generator)
+        self.gossip = QuarantineGossip(self.quarantine, generator)
         self.period_s = max(MIN_PERIOD_S, vms / DATAGRAMS_PER_S)
         self.due_at = generator.random() * self.period_s
         self.heartbeat_at = generator.random() * HEARTBEAT_S
@@ -200,14 +200,14 @@
         if self._now >= vm.due_at:
             vm.due_at += vm.period_s
             self._tell_all(number)
-        elif self._pattern.tells_at_once and vm.news.is_urgent:
+        elif self._pattern.tells_at_once and vm.gossip.is_urgent:
             vms = min(len(self._vms), MAX_BURST_DATAGRAMS)
             if vm.datagrams_left >= vms:
                 vm.datagrams_left -= vms
                 self._tell_all(number)
 
     def _tell_all(self, number: int) -> None:
-        hints = self._vms[number].news.collect(self._now)
+        hints = self._vms[number].gossip.collect(self._now)
         if not hints:
             return
         for peer in range(len(self._vms)):
@@ -218,18 +218,20 @@
         """Let each peer compare what it refuses, and answer."""
         if not (self._pattern.tells and self._pattern.compares):
             return
-        digest = self._vms[number].news.digest
+        digest = self._vms[number].gossip.digest
         for peer in range(len(self._vms)):
             if peer == number or self._is_lost(number, peer):
                 continue
-            for hints in self._vms[peer].news.reply(f"vm-{number}", digest, self._now):
+            for hints in self._vms[peer].gossip.reply(
+                f"vm-{number}", digest, self._now
+            ):
                 self._tell(peer, number, hints)
 
     def _tell(self, number: int, peer: int, hints: list[SuspectHint]) -> None:
         self._result.vm_bytes += len(msgspec.msgpack.encode(hints))
         self._result.vm_datagrams += 1
         if not self._is_lost(number, peer):
-            self._vms[peer].news.apply(hints, self._now)
+            self._vms[peer].gossip.apply(hints, self._now)
 
     def _is_lost(self, number: int, peer: int) -> bool:
         is_cut = self._now < self._pattern.seconds / 2
--- a/features/steps/quarantine_rule_steps.py
+++ b/features/steps/quarantine_rule_steps.py
@@ -113,7 +113,7 @@
     def __init__(self, count: int, lost_share: float = 0.0) -> None:
         self.random = random.Random(4)
         self.quarantines = [Quarantine() for _ in range(count)]
-        self.news = [QuarantineGossip(q, self.random) for q in self.quarantines]
+        self.gossip = [QuarantineGossip(q, self.random) for q in self.quarantines]
         self.lost_share = lost_share
         self.cut = set()
         self.now = 100.0
@@ -125,21 +125,21 @@
         until = self.now + seconds
         while self.now < until:
             self.now += ROUND_S
-            for vm in range(len(self.news)):
+            for vm in range(len(self.gossip)):
                 self.tell(vm)
 
     def tell(self, vm: int) -> None:
-        hints = self.news[vm].collect(self.now)
-        for peer in range(len(self.news)):
+        hints = self.gossip[vm].collect(self.now)
+        for peer in range(len(self.gossip)):
             if peer == vm or self.is_lost(vm, peer):
                 continue
             self.take(peer, vm, hints)
 
     def take(self, vm: int, peer: int, hints: list[SuspectHint]) -> None:
         """Let a VM take what a peer tells, and answer it."""
-        news, digest = self.news[vm], self.news[peer].digest
-        outdated = news.apply(hints, self.now)
-        answers = news.reply(f"vm-{peer}", digest, self.now)
+        gossip, digest = self.gossip[vm], self.gossip[peer].digest
+        outdated = gossip.apply(hints, self.now)
+        answers = gossip.reply(f"vm-{peer}", digest, self.now)
         for answer in [outdated, *answers] if outdated else answers:
             if not self.is_lost(vm, peer):
                 self.take(peer, vm, answer)
@@ -233,10 +233,10 @@
         group.lose_at(vm, f"s-{vm}")
         group.now += 0.2
     group.play(0.4)
-    unread = group.news[0].collect_quarantined(group.now, 6)
+    unread = group.gossip[0].collect_quarantined(group.now, 6)
     group.quarantines[4].note_served(REQUEST, group.now + 0.1)
     group.play(late)
-    group.news[stopped].apply(unread, group.now)
+    group.gossip[stopped].apply(unread, group.now)
     assert group.list_refusing() == [False] * stopped + [True]
     group.cut = set()
 
--- a/features/steps/server_word_fleet_steps.py
+++ b/features/steps/server_word_fleet_steps.py
@@ -31,7 +31,7 @@
 
     def __init__(self, servers: list[str]) -> None:
         self.directory = ServerDirectory(read_time=lambda: UNIX_S + 65)
-        self.news = NoticeGossip(self.directory)
+        self.gossip = NoticeGossip(self.directory)
         for server_id in servers:
             self.directory.put(build_entry(server_id))
 
@@ -41,8 +41,8 @@
 
 def collect(vm: Vm, now: float) -> list[LeavingHint]:
     """Return what a VM tells in a message of this moment, as its hints are built."""
-    hints = vm.news.collect(now)
-    return hints or vm.news.collect_rebroadcast(now, near=True)
+    hints = vm.gossip.collect(now)
+    return hints or vm.gossip.collect_rebroadcast(now, near=True)
 
 
 @given('VMs "{vms}" that know the servers "{servers}"')
@@ -69,13 +69,13 @@
 
 @then('"{vm}" has something urgent to tell')
 def step_urgent(context, vm):
-    assert context.vms[vm].news.is_urgent
+    assert context.vms[vm].gossip.is_urgent
 
 
 @then('"{vm}" has nothing urgent to tell')
 def step_not_urgent(context, vm):
-    assert not context.vms[vm].news.is_urgent
-    assert not context.vms[vm].news.has_pending
+    assert not context.vms[vm].gossip.is_urgent
+    assert not context.vms[vm].gossip.has_pending
 
 
 @then('the next {count:d} messages of "{vm}", 0.2 s apart, tell of "{told}"')
@@ -99,7 +99,7 @@
 def step_told(context, vm, other):
     hints = collect(context.vms[other], context.now)
     assert hints
-    context.vms[vm].news.apply(hints, context.now)
+    context.vms[vm].gossip.apply(hints, context.now)
 
 
 @when('"{vm}" is told by "{other}" after {seconds:g} s')
@@ -151,7 +151,7 @@
 
 @when('"{vm}" is told of "{server}" with an age of {age:d} ms')
 def step_age(context, vm, server, age):
-    context.vms[vm].news.apply([LeavingHint(server, age)], context.now)
+    context.vms[vm].gossip.apply([LeavingHint(server, age)], context.now)
 
 
 @then('"{server}" is closed to "{closed}" and open to "{others}"')
@@ -170,7 +170,7 @@
     for _ in range(count):
         hints = collect(context.vms[vm], context.now)
         assert len(hints) <= most, len(hints)
-        context.vms[other].news.apply(hints, context.now)
+        context.vms[other].gossip.apply(hints, context.now)
         context.now += 0.08
     directory = context.vms[other].directory
     left = [state.id for state in directory if state.leaving]
@@ -185,10 +185,10 @@
     for name in read_names(vms):
         vm = context.vms[name]
         vm.directory.notices.note_backoff(server, rest, context.now)
-        hints = vm.news.collect_backoffs(context.now)
+        hints = vm.gossip.collect_backoffs(context.now)
         for other in context.vms.values():
             if other is not vm:
-                other.news.apply_backoffs(name, hints, context.now)
+                other.gossip.apply_backoffs(name, hints, context.now)
 
 
 @when('"{vm}" is asked by "{server}" for {rest:g} s of rest')
@@ -205,12 +205,12 @@
 
 @then('"{vm}" tells the rests of "{servers}", and then none')
 def step_tells_rests(context, vm, servers):
-    news = context.vms[vm].news
-    assert news.is_urgent
-    found = [hint.server for hint in news.collect_backoffs(context.now)]
+    gossip = context.vms[vm].gossip
+    assert gossip.is_urgent
+    found = [hint.server for hint in gossip.collect_backoffs(context.now)]
     assert found == servers.split(), found
-    assert not news.is_urgent
-    assert not news.collect_backoffs(context.now)
+    assert not gossip.is_urgent
+    assert not gossip.collect_backoffs(context.now)
 
 
 # many VMs on one clock
