--- a/src/ramppin/gateway/process/routing/gate.py
+++ b/src/ramppin/gateway/process/routing/gate.py
@@ -1,8 +1,8 @@
-"""Which backend servers of a service take requests from this VM now.
+"""Determines which backend servers of a service accept requests from this VM now.
 
-The one place that joins all that closes a server (:mod:`~.closure`), asked before each
-choice. Owns nothing; relies on the directory for what lasts and on this VM's turns for
-cold servers. No I/O.
+Combines all conditions that close a server (:mod:`~.closure`) and is evaluated before
+each selection. It holds no state: closures that last come from the directory, those of
+cold servers from this VM's quota. No I/O.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from ramppin.gateway.process.routing.serverstate import ServerState
 
 MAX_LISTED_CLOSURES = 8
-"""Closed servers that one line names."""
+"""Maximum number of closed servers listed in one log line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,47 +28,48 @@
     """The servers of one service at one moment.
 
     Attributes:
-        states: those that nothing lasting closes; loads are measured over them.
-        closed: what closes servers, by their ids; a server that is not in it is open.
+        states: servers without a lasting closure; loads are measured over them.
+        closed: closures by server id; a server without one is open.
     """
 
     states: list[ServerState]
     closed: dict[str, Closure]
 
     def list_open(self) -> list[ServerState]:
-        """Return the servers that take requests now."""
+        """Return the servers that accept requests now."""
         return [state for state in self.states if state.id not in self.closed]
 
     def list_reasons(self, tried: Collection[str]) -> set[ClosureReason]:
-        """Return what closes the servers that a request has not tried.
+        """Return why the servers that a request has not tried are closed.
 
-        All of them where none is open: what it tried would turn it away once more.
+        If no server is open, the tried ones are included: they would reject the
+        request again.
 
         Args:
-            tried: ids of servers.
+            tried: ids of the servers that the request has tried.
         """
         passed_over = tried if self.list_open() else ()
         return {c.reason for name, c in self.closed.items() if name not in passed_over}
 
     def list_closure_labels(self) -> tuple[str, ...]:
-        """Return the closed servers for lines, as ``REASON:ID``, some if many."""
+        """Return labels ``REASON:ID`` of closed servers, at most the first few."""
         found = sorted(f"{c.reason.value}:{name}" for name, c in self.closed.items())
         return tuple(found[:MAX_LISTED_CLOSURES])
 
     def find_earliest_reopening(self) -> Closure | None:
-        """Return the closure that ends first, of those whose end is known."""
+        """Return the closure that ends first, among those with a known end."""
         ending = [c for c in self.closed.values() if c.opens_at is not None]
         return min(ending, key=lambda closure: closure.opens_at or 0.0, default=None)
 
 
 class ServerGate:
-    """Tells which servers take requests from this VM.
+    """Determines which servers accept requests from this VM.
 
     Args:
         directory: the backend servers.
         cold_quota: requests that this VM may send to cold servers.
-        find_cold_rate: returns how many requests a second a cold server of a service
-            takes; 0 for any number.
+        find_cold_rate: returns how many requests per second a cold server of a
+            service accepts; 0 for no limit.
 
     .. versionadded:: 0.3
     """
@@ -87,8 +88,8 @@
         """Return the servers of a service, and which of them are closed.
 
         Args:
-            service: the service's name.
-            now: the loop's time.
+            service: name of the service.
+            now: event loop time.
         """
         states, closed = [], {}
         cold_per_s = self._find_cold_rate(service)
@@ -103,11 +104,11 @@
         return ServiceSurvey(states, closed)
 
     def find_closure(self, state: ServerState, now: float) -> Closure | None:
-        """Return what closes a server at which this VM has taken a place, or None.
+        """Return the closure of a server, or None; the cold quota is not considered.
 
         Args:
-            state: the server.
-            now: the loop's time.
+            state: the server, for which this VM has taken any quota that it needs.
+            now: event loop time.
         """
         lasting = find_lasting_closure(state, self._directory.evacuations)
         return _find_backoff(state, now) if lasting is None else Closure(lasting)
@@ -115,7 +116,7 @@
     def _find_cold_closure(
         self, state: ServerState, per_s: float, now: float
     ) -> Closure | None:
-        """Return the closure of a cold server at which this VM has no place."""
+        """Return the closure of a cold server for which this VM has no quota left."""
         if not per_s or not state.coldness.is_cold(now):
             return None
         if self._cold_quota.count_remaining(state.id, per_s, now) >= 1:
@@ -125,6 +126,6 @@
 
 
 def _find_backoff(state: ServerState, now: float) -> Closure | None:
-    """Return the closure of a server that has asked this VM for rest."""
+    """Return the closure of a server that requested a back-off from this VM."""
     until = state.notices.find_backoff_end(now)
     return None if until is None else Closure(ClosureReason.RESTING, until)
