--- a/src/ramppin/gateway/process/routing/closure.py
+++ b/src/ramppin/gateway/process/routing/closure.py
@@ -1,7 +1,8 @@
-"""Why a backend server takes nothing from this VM now.
+"""Reasons for which a backend server gets no requests from this VM.
 
-A closed server is sent nothing, whatever else is left. What merely makes other servers
-preferable, such as an ejection, stands in :mod:`~.eligibility` and closes none. No I/O.
+A closed server gets no requests, even if no other server is left. Conditions that only
+make other servers preferable, such as an ejection, are handled in :mod:`~.eligibility`
+and close no server. No I/O.
 """
 
 from __future__ import annotations
@@ -14,35 +15,35 @@
 
 
 class ClosureReason(Enum):
-    """What closes a server; the value stands in lines and metrics."""
+    """Why a server is closed; the value appears in log lines and metrics."""
 
     GONE = "gone"
-    """Its entry has vanished, or a later start of it is known."""
+    """Its entry was removed, or it has restarted since."""
 
     UNREADABLE = "unreadable"
     """Its newest entry can't be read."""
 
     LEAVING = "leaving"
-    """It says that it takes nothing new."""
+    """It announced that it accepts no new requests."""
 
     EVACUATED = "evacuated"
-    """The operator has emptied its failure domain."""
+    """The operator has evacuated its failure domain."""
 
     RESTING = "resting"
-    """It wants nothing from this VM for a while."""
+    """It requested a back-off from this VM."""
 
     COLD = "cold"
-    """It is cold, and this VM has no place there now."""
+    """It is cold, and this VM has no quota left for it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Closure:
-    """A server that is closed.
+    """Closure of one server.
 
     Attributes:
-        reason: what closes it.
-        opens_at: the loop's time at which it takes requests again; None if that is
-            not known, or will never be.
+        reason: why it is closed.
+        opens_at: event loop time at which it accepts requests again; None if that is
+            unknown or it never will.
     """
 
     reason: ClosureReason
@@ -52,13 +53,14 @@
 def find_lasting_closure(
     state: ServerState, evacuations: Evacuations
 ) -> ClosureReason | None:
-    """Return what closes a server for the rest of its start; None if nothing does.
+    """Return the reason of a closure without a known end, or None.
 
-    An emptied failure domain lasts until the operator's next word.
+    An evacuation lasts until the operator ends it; the other reasons last for the rest
+    of the server's incarnation, or until it writes a new entry.
 
     Args:
         state: the server.
-        evacuations: failure domains that the operator has emptied.
+        evacuations: failure domains that the operator has evacuated.
     """
     if state.missing or state.restarted:
         return ClosureReason.GONE
