--- a/src/ramppin/gateway/process/routing/eligibility.py
+++ b/src/ramppin/gateway/process/routing/eligibility.py
@@ -1,10 +1,10 @@
-"""Which backend servers a request may be sent to.
+"""Determines which backend servers a request may be sent to.
 
-Preferred are servers that are neither ejected nor unresponsive
-(:mod:`ramppin.gateway.process.membership.health`), that turn no other VMs away
-(:mod:`ramppin.gateway.process.membership.shedding`), and that have room in this VM's
-share of their connections. No request is refused for want of such a server: without
-one, any untried server will do. Pure functions.
+Servers are preferred if they are neither ejected nor unresponsive
+(:mod:`ramppin.gateway.process.membership.health`), do not shed the requests of other
+VMs (:mod:`ramppin.gateway.process.membership.shedding`), and have room in this VM's
+share of their connections. A lack of preferred servers rejects no request: any untried
+server is used then. Pure functions.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from ramppin.gateway.process.routing.serverstate import ServerState
 
 CONNECTION_SHARE = 0.9
-"""Part of a server's connections that the fleet's VMs divide among themselves; the rest
-is for VMs that are not known yet."""
-
+"""Share of a server's connections that is divided among the known VMs of the fleet; the
+rest is reserved for VMs that are not known yet."""
 
 MAX_EXCLUDED_SHARE = 1 / 3
-"""Part of a service's servers that may be passed over for what the fleet saw: more are
-a trouble of the service, and the rest could not carry its load."""
+"""Largest share of a service's servers that may be excluded because the fleet sees them
+fail. If more fail, the fault is in the service, and the rest could not carry its load.
+"""
 
 
 def list_eligible(
@@ -30,14 +30,14 @@
     now: float,
     bad: Collection[str] = (),
 ) -> list[ServerState]:
-    """Return the servers to choose from; empty only if every one was tried.
+    """Return the servers to choose from; empty only if all were tried.
 
     Args:
         states: the open servers of the request's service.
         tried: ids of servers that the request has tried.
-        max_in_flight: requests that this VM should have at one server; None for
-            any number.
-        now: the loop's time.
+        max_in_flight: maximum number of requests that this VM should have in flight at
+            one server; None for no limit.
+        now: event loop time.
         bad: ids from :func:`find_failing_servers`.
     """
     untried = [state for state in states if state.id not in tried]
@@ -57,13 +57,13 @@
 ) -> frozenset[str]:
     """Return the ids of servers that the fleet sees failing.
 
-    None if they are too many to be passed over.
+    Empty if they exceed :data:`MAX_EXCLUDED_SHARE` of the servers.
 
     Args:
         states: the open servers of a service.
         own_domain: this VM's failure domain.
-        requests_per_s: requests that the fleet sends to the service.
-        now: the loop's time.
+        requests_per_s: rate of requests that the fleet sends to the service.
+        now: event loop time.
     """
     share = requests_per_s / max(1, len(states))
     bad = frozenset(
@@ -75,7 +75,7 @@
 def has_healthy_server(
     states: Sequence[ServerState], tried: Collection[str], now: float
 ) -> bool:
-    """Return whether an untried server is left that is not suspect."""
+    """Return whether at least one untried server is not suspect."""
     return any(
         state.id not in tried and not state.health.is_suspect(now) for state in states
     )
@@ -85,11 +85,11 @@
     """Return how many connections of one server this VM may use.
 
     Args:
-        max_connections: connections that the server takes in all; 0 for any number.
-        live_vms: VMs of the fleet that share them, this one included.
+        max_connections: connections that the server accepts in all; 0 for no limit.
+        live_vms: number of VMs of the fleet that share them, including this one.
 
     Returns:
-        At least 1; None for any number.
+        At least 1; None for no limit.
     """
     if not max_connections:
         return None
