--- a/src/ramppin/gateway/process/routing/selection.py
+++ b/src/ramppin/gateway/process/routing/selection.py
@@ -1,9 +1,9 @@
-"""Which backend server gets a request, by what this process knows: the base.
+"""Base of the strategies that select a backend server for a request.
 
-Each strategy sees the open servers of one service with their likely loads
-(:mod:`ramppin.gateway.process.load.view`), in which what other VMs told is counted. No
-VM is asked for a choice: each must be able to serve when it can reach no peer. Which
-servers are open to choice is decided in :mod:`~.eligibility`. Prompts are placed by
+Each strategy receives the open servers of one service with their estimated loads
+(:mod:`ramppin.gateway.process.load.view`), which include reports by peers. Selection is
+local to the VM, since each VM must be able to serve when it can reach no peer. The
+servers to choose from are determined in :mod:`~.eligibility`. Prompts are placed by
 :mod:`~.prefixselection`, requests without a prefix by :mod:`~.nearestselection`.
 """
 
@@ -21,15 +21,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SelectionRequest:
-    """What a strategy may know about a request.
+    """Properties of a request that a strategy uses.
 
     Attributes:
         prefix_key: hash of the shared part of the prompt; None if there is none.
         exclude: ids of servers that this request has tried.
-        max_in_flight: requests that this VM should have at one server; None for
-            any number.
+        max_in_flight: maximum number of requests that this VM should have in flight at
+            one server; None for no limit.
         bad: ids of servers that the fleet sees failing.
-        suspect_key: the request's fingerprint if servers may have ended under it.
+        suspect_key: the request's fingerprint if it may have crashed servers.
     """
 
     prefix_key: int | None = None
@@ -41,20 +41,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """A chosen server and the reasons, for logs and explanations.
+    """The chosen server and the values behind the choice, for logs and explanations.
 
     Attributes:
         state: the chosen server.
-        rank: 0 for the home of the prompt's prefix, else its place in the
-            prefix's order, from 1.
-        load: requests that it is likely to hold, this one not counted.
+        rank: 0 for the home of the prompt's prefix, else its position in the
+            prefix's rendezvous order, from 1.
+        load: estimated number of requests that it holds, without this one.
         bound: the load that it must stay below.
-        mean: of what the service's servers are likely to hold.
-        in_flight: those of the load that are this VM's own.
+        mean: mean estimated load of the service's servers.
+        in_flight: requests of this VM that it holds.
         report_age_s: age of its load report in seconds.
         copy_from: id of another server that has the prompt's prefix, or None.
-        shared_by: servers that share the prefix, its home among them.
-        closed: servers that were closed, as ``REASON:ID``, some of them if many.
+        shared_by: number of servers that share the prefix, including its home.
+        closed: labels ``REASON:ID`` of closed servers, at most the first few.
     """
 
     state: ServerState
@@ -78,9 +78,9 @@
         """Return the choice among a service's open servers, or None.
 
         Args:
-            request: what is known about the request.
+            request: properties of the request.
             states: the open servers of its service.
-            now: the loop's time.
+            now: event loop time.
         """
         eligible = list_eligible(
             states, request.exclude, request.max_in_flight, now, request.bad
@@ -95,7 +95,7 @@
         return self._choose_among(request, eligible, view, now)
 
     def _measure(self, states: Sequence[ServerState], now: float) -> LoadView:
-        """Return the loads of all open servers."""
+        """Return the estimated loads of all open servers."""
         return measure_loads(states, now)
 
     @abstractmethod
@@ -106,23 +106,23 @@
         view: LoadView,
         now: float,
     ) -> Selection:
-        """Return the choice among eligible servers; there is at least one.
+        """Return the choice among the eligible servers, of which there is at least one.
 
         Args:
-            request: what is known about the request.
+            request: properties of the request.
             eligible: the servers to choose from.
             view: the loads of all open servers.
-            now: the loop's time.
+            now: event loop time.
         """
 
 
 def _choose_for_suspect(
     key: int, eligible: list[ServerState], view: LoadView
 ) -> ServerState | None:
-    """Return the server for a request under which servers may have ended, or None.
+    """Return the server for a request that may have crashed servers, or None.
 
-    Copies of it that come at one time through several VMs go to one server, so they
-    end that one at most. Servers at the bound are passed over.
+    Copies of it that arrive at several VMs at the same time go to the same server, so
+    that they crash only that one. Servers at the bound are skipped.
 
     Args:
         key: the request's fingerprint.
@@ -143,7 +143,7 @@
         state: the server.
         rank: see :class:`Selection`.
         view: the loads of all open servers.
-        now: the loop's time.
+        now: event loop time.
     """
     return Selection(
         state,
