--- a/src/ramppin/gateway/process/routing/prefixselection.py
+++ b/src/ramppin/gateway/process/routing/prefixselection.py
@@ -1,7 +1,7 @@
-"""Places prompts: at the home of their prefix, below the bound on load.
+"""Selects servers for prompts: the home of the prefix, if it is below the load bound.
 
-Relies on the homes that this VM knows (:mod:`~.homes`) and on which prefixes the fleet
-meets often (:mod:`~.hotprefixes`); owns nothing but the order of servers by hash.
+Uses the homes that this VM knows (:mod:`~.homes`) and the prefixes that are requested
+often in the fleet (:mod:`~.hotprefixes`). The only state here is the rendezvous ranking.
 """
 
 from __future__ import annotations
@@ -29,27 +29,27 @@
 
 HOME_LOAD_MARGIN = 2
 """Requests by which the second server of a prefix must be less loaded than the first to
-become its home: a difference below is within what a VM's knowledge errs by."""
+become its home. A smaller difference is within the error of a VM's load estimates."""
 
 HOT_HOME_SHARE = 1 / 3
-"""Part of the bound for which a hot prefix gets a server, once the peak of its home was
-at the bound. Many VMs that choose at one moment, as after a stall, all believe the home
-to be free, and would overrun it."""
+"""Share of the bound per server of a hot prefix, once the peak load of its home reached
+the bound. VMs that choose at the same moment, as after a stall, all estimate the home to
+be free, and would overload it."""
 
 
 class PrefixSelection(SelectionStrategy):
-    """Returns prompts to the server that has their prefix, below a bound.
+    """Sends prompts to the server that has their prefix cached, below a load bound.
 
-    A prompt goes to the home of its prefix. One without a home goes to its first
-    server by rendezvous hashing, or to the second if that is clearly less loaded; it
-    becomes the home. A server at or above the bound is passed over for the next in the
-    prefix's order; the home stays, for the next prompt. With every server at the bound,
-    the least loaded one gets the prompt. A hot prefix is shared by its home and the
-    next servers, as many as the home's last peak needs. A prompt that passes over a
-    home at the bound prefers cold servers.
+    A prompt goes to the home of its prefix. If the prefix has no home, its first server
+    by rendezvous hashing becomes the home, or the second if that is clearly less
+    loaded. A server at or above the bound is skipped for the next one in the prefix's
+    order; the home is kept for later prompts. If every server is at the bound, the
+    least loaded one gets the prompt. A hot prefix is shared by its home and the next
+    servers, as many as the home's last peak requires. A prompt that skips a home at the
+    bound prefers cold servers.
 
     Args:
-        homes: where prefixes are.
+        homes: homes of prefixes.
         bound: multiple of the mean load that a server may hold.
         slack: requests that it may hold beyond that.
         generator: draws which of a hot prefix's servers gets a prompt.
@@ -85,8 +85,8 @@
         by_id = {state.id: state for state in eligible}
         key = request.prefix_key if request.prefix_key is not None else 0
         home = by_id.get(self._homes.find(key) or "")
-        # Asked for before the prefix is placed anew: a home that is leaving, or stands
-        # in an emptied failure domain, still has what would be read again elsewhere.
+        # Looked up before the prefix is placed again: a home that is leaving, or is in
+        # an evacuated failure domain, still has the cached prefix, which can be copied.
         last_home = self._homes.find_any(key)
         replica_count = self._compute_replica_count(key, home, view, now)
         replica_index = int(self._generator.random() * replica_count)
@@ -109,7 +109,7 @@
     ) -> float:
         """Return how many servers a prefix needs: 1 unless it is hot.
 
-        Of the last one a part, which gets that part of the prompts.
+        The last server gets a share of the prompts according to the fractional part.
         """
         self._homes.hot.count_prompt()
         if home is None:
@@ -130,14 +130,14 @@
         view: LoadView,
         now: float,
     ) -> tuple[str, int]:
-        """Return a server in place of the home of a prefix, and its rank.
+        """Return the server for a prompt that was not sent to its home, and its rank.
 
         Args:
-            key: of the prefix.
-            by_id: the servers to choose from.
-            replica_index: which of those below the bound to use, the home being number 0.
+            key: key of the prefix.
+            by_id: the servers to choose from, by id.
+            replica_index: index among the servers below the bound; the home has 0.
             view: the loads of all open servers.
-            now: the loop's time.
+            now: event loop time.
         """
         home = self._homes.find(key)
         ranked = self._ranking.rank(key, list(by_id))
@@ -150,8 +150,8 @@
             chosen = _choose_home(below, view)
             self._homes.note_placed(key, chosen, now)
         elif replica_index == 0 and home in by_id:
-            # The cold ones here are those at which this VM has a place now. They are
-            # empty while others are at their worst load, and an unused place is lost.
+            # The cold servers here are those for which this VM has quota left. They are
+            # empty while the others have peak load, and unused quota expires.
             cold = [s for s in below if by_id[s].coldness.is_cold(now)]
             chosen = (cold or below)[0]
         else:
@@ -164,10 +164,10 @@
 
 
 def _choose_home(below: Sequence[str], view: LoadView) -> str:
-    """Return the server that becomes a prefix's home, of those in its order.
+    """Return the server that becomes a prefix's home, from servers in its order.
 
-    The first, which every VM finds alike, so that VMs that place a prefix at the same
-    time need no word of each other; the second if it is clearly less loaded.
+    The first one is the same on every VM, so that VMs that place a prefix at the same
+    time agree without communication; the second is chosen if it is clearly less loaded.
     """
     first = below[0]
     if len(below) > 1 and view.loads[below[1]] + HOME_LOAD_MARGIN < view.loads[first]:
