--- a/src/ramppin/gateway/process/routing/nearestselection.py
+++ b/src/ramppin/gateway/process/routing/nearestselection.py
@@ -1,4 +1,4 @@
-"""Places requests without a prefix: near, up to a share, below the bound on load."""
+"""Selects servers for requests without a prefix: near ones first, up to a share."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from ramppin.gateway.process.routing.serverstate import ServerState
 
 OTHER_DOMAIN_PENALTY = 1
-"""Own requests that a server must have fewer than the preferred ones, those near or
-those remote, to be chosen in their place."""
+"""Number of this VM's requests by which a server of the other group must have fewer than
+one of the preferred group (near or remote servers) to be chosen instead."""
 
 
 class NearestSelection(SelectionStrategy):
-    """Prefers servers of the own failure domain up to a share, below the bound.
+    """Prefers servers of its own failure domain up to a share, below the load bound.
 
-    VMs that choose at the same moment don't know of each other: those of one failure
-    domain whose callers come at once, or that wake together after a stall, would all
-    choose the server there. So this VM prefers near servers for a share of its requests
-    only, such that no server gets more than :data:`BOUND_RATIO` times its part however
-    many VMs choose alike, and remote ones for the rest.
+    VMs that choose at the same moment have no information about each other's choices.
+    VMs of one failure domain whose callers arrive at once, or that resume together
+    after a stall, would all choose the servers there. So this VM prefers near servers
+    only for a share of its requests, and remote ones for the rest: no server gets more
+    than :data:`BOUND_RATIO` times its part, however many VMs make the same choice.
 
-    What other VMs tell is used in the same way. A server at the bound is closed; those
-    that keep no VM's requests waiting get 1.5 times their part, not all: VMs that hear
-    the same would all choose the least loaded one, and overrun it.
+    Reports by peers are used in the same way. Servers at the bound are excluded, and
+    those without overdue requests of peers get 1.5 times their part, not all requests:
+    VMs with the same reports would all choose the least loaded one and overload it.
 
     Args:
-        failure_domain: where this process runs.
-        generator: breaks ties, so that VMs don't all choose alike.
+        failure_domain: failure domain of this process.
+        generator: breaks ties, so that VMs make different choices.
 
     .. versionadded:: 0.2
     """
@@ -49,7 +49,7 @@
         view: LoadView,
         now: float,
     ) -> Selection:
-        """Return the server with the fewest own requests, a preferred one if equal."""
+        """Return the server with the fewest requests of this VM, weighted by group."""
         servers = len(view.loads)
         below = [state for state in eligible if view.loads[state.id] < view.bound]
         drawn, share = self._draw_candidates(below or eligible, servers, now)
@@ -61,10 +61,10 @@
     def _draw_candidates(
         self, states: list[ServerState], servers: int, now: float
     ) -> tuple[list[ServerState], float]:
-        """Return servers to choose from, and the share of requests that get these.
+        """Return the servers to choose from, and the share of requests that get these.
 
-        Those at which no other VM's requests are overdue, for their part; else the
-        others.
+        The servers at which no other VM has overdue requests are drawn for that share
+        of the requests, the other servers for the rest.
         """
         without_overdue = [
             state for state in states if not state.waiting.count_peer_overdue(now)
