--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -1,14 +1,13 @@
-"""Where a prefix belongs: which backend server has which prompts' prefix cached.
+"""Homes of prefixes: which backend server has which prompt prefix cached.
 
-Rendezvous hashing alone moves prefixes to every server that joins, and they are
-read there again. So the first placement of a prefix makes a home that stays
-until its server leaves. VMs announce their homes to each other; where two differ,
-the older one wins, and of two placed at about the same time the one that ranks
-higher for the prefix: all VMs come to the same answer in whatever order the
-announcements arrive.
+Rendezvous hashing alone moves prefixes to every server that joins, which must process
+them again. So the first placement of a prefix sets a home that is kept until its server
+leaves. VMs announce their homes to each other. If two homes differ, the older one takes
+precedence; of two placed at about the same time, the server that ranks higher for the
+prefix. All VMs reach the same result, in whatever order the announcements arrive.
 
-Without announcements each VM reads a prefix again at a server of its own choice. Owns
-the homes that this VM knows, and which of them to announce. No I/O.
+Without announcements, each VM would have a prefix processed again at a server of its own
+choice. Holds the homes that this VM knows and those to be announced. No I/O.
 """
 
 from __future__ import annotations
@@ -20,25 +19,25 @@
 from ramppin.ranking import hash_name, mix
 
 CONCURRENT_PLACEMENT_S = 0.5
-"""Seconds within which two homes count as placed at the same time: ages travel in
-messages that take a while, so the order of closer ones is not known."""
+"""Seconds within which two homes count as placed at the same time. Ages are sent in
+messages with a delay, so the order of closer placements is unknown."""
 
 REANNOUNCE_PERIOD_S = 12.0
-"""Seconds after which a home in use is announced again, for VMs that missed it. Each
-announcement goes to every VM."""
+"""Seconds after which a home in use is announced again, for VMs that missed the last
+announcement. Each announcement is sent to every VM."""
 
 MAX_HOMES_PER_GENERATION = 20_000
-"""Homes of one generation; two generations are kept."""
+"""Maximum number of homes in one generation; two generations are kept."""
 
 
 @dataclass(slots=True)
 class Home:
-    """Where a prefix is.
+    """Home of a prefix.
 
     Attributes:
-        server: the backend server's id.
-        placed_at: the loop's time at which it was placed there.
-        announced_at: the loop's time at which any VM last announced it.
+        server: id of the backend server.
+        placed_at: event loop time at which the prefix was placed there.
+        announced_at: event loop time of the last announcement by any VM.
     """
 
     server: str
@@ -48,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HomeAnnouncement:
-    """A VM's announcement of a home.
+    """Announcement of a home by one VM.
 
     Attributes:
-        key: the prefix's key.
-        server: the backend server's id.
-        age_s: how long ago the prefix was placed there.
+        key: key of the prefix.
+        server: id of the backend server.
+        age_s: seconds since the prefix was placed there.
     """
 
     key: int
@@ -62,14 +61,14 @@
 
 
 class PrefixHomes:
-    """Homes of prefixes, bounded by two generations.
+    """Homes of prefixes, limited in number by two generations.
 
     Args:
-        is_usable: returns whether a backend server still takes work.
+        is_usable: returns whether a backend server still accepts new requests.
 
     Attributes:
-        changes: how often a prefix got another home, for the snapshot.
-        has_pending_placement: whether a prefix was placed here that is not announced yet.
+        changes: number of times that a prefix got a new home, for the snapshot.
+        has_pending_placement: whether this VM has placed a prefix and not announced it.
         hot: prefixes that need more servers than their home.
 
     .. versionadded:: 0.2
@@ -88,33 +87,33 @@
         return len(self._young) + len(self._old)
 
     def find(self, key: int) -> str | None:
-        """Return the usable backend server that has a prefix, or None."""
+        """Return the backend server of a prefix if it is usable, or None."""
         home = self._find(key)
         if home is None or not self._is_usable(home.server):
             return None
         return home.server
 
     def find_any(self, key: int) -> str | None:
-        """Return the backend server that last had a prefix, usable or not."""
+        """Return the backend server of a prefix, usable or not, or None."""
         home = self._find(key)
         return home.server if home else None
 
     def note_placed(self, key: int, server: str, now: float) -> None:
-        """Note where a prompt without a usable home was placed."""
+        """Record where a prompt without a usable home was placed."""
         home = Home(server, now, now)
         self._put(key, home)
         self._pending[key] = home
         self.has_pending_placement = True
 
     def note_used(self, key: int, now: float) -> None:
-        """Note that a home was used; announce it again in time."""
+        """Record that a home was used, and queue its announcement if that is due."""
         home = self._find(key)
         if home is not None and now - home.announced_at > REANNOUNCE_PERIOD_S:
             home.announced_at = now
             self._pending[key] = home
 
     def apply_announcement(self, announcement: HomeAnnouncement, now: float) -> None:
-        """Take another VM's announcement."""
+        """Apply another VM's announcement."""
         if not self._is_usable(announcement.server):
             return
         reported = Home(announcement.server, now - announcement.age_s, now)
@@ -132,7 +131,7 @@
             self._pending[announcement.key] = known
 
     def collect_announcements(self, now: float, limit: int) -> list[HomeAnnouncement]:
-        """Return what should be announced now, at most ``limit`` homes."""
+        """Return and clear the pending announcements, at most ``limit`` of them."""
         keys = list(self._pending)[:limit]
         self.has_pending_placement = (
             self.has_pending_placement and len(self._pending) > limit
@@ -144,7 +143,7 @@
         ]
 
     def list_newest(self, now: float, limit: int) -> list[HomeAnnouncement]:
-        """Return the usable homes that were placed or announced last."""
+        """Return the most recently placed or announced homes that are usable."""
         found = [*reversed(self._young.items()), *reversed(self._old.items())]
         return [
             HomeAnnouncement(key, home.server, max(0.0, now - home.placed_at))
