--- a/src/ramppin/gateway/process/load/waiting.py
+++ b/src/ramppin/gateway/process/load/waiting.py
@@ -1,10 +1,10 @@
-"""Requests that one backend server keeps waiting for the next byte of an answer.
+"""Requests that wait for the next byte of an answer from one backend server.
 
-A server that goes silent fills up unseen: it reports nothing, and each of many VMs has
-one request there or none. So each VM tells the others how many of its requests wait
-longer than is usual (:mod:`~.gossip`), and what is told counts as held. Owns the times of
-the last bytes for this VM's own requests at the server, and what others told of theirs.
-No I/O.
+A server that stops responding fills up unnoticed: it reports no load, and each of many
+VMs has at most one request there. So each VM sends the others the number of its
+requests that wait longer than usual (:mod:`~.gossip`), and these count as load. Holds
+the times of the last bytes for this VM's requests at the server, and the counts that
+peers reported. No I/O.
 """
 
 from __future__ import annotations
--- a/src/ramppin/gateway/process/routing/nearestselection.py
+++ b/src/ramppin/gateway/process/routing/nearestselection.py
@@ -14,8 +14,8 @@
 from ramppin.gateway.process.routing.serverstate import ServerState
 
 OTHER_DOMAIN_PENALTY = 1
-"""Number of this VM's requests by which a server of the other group must have fewer than
-one of the preferred group (near or remote servers) to be chosen instead."""
+"""Requests added to this VM's own at servers outside the preferred group (the near or the
+remote ones) when servers are compared."""
 
 
 class NearestSelection(SelectionStrategy):
@@ -49,7 +49,7 @@
         view: LoadView,
         now: float,
     ) -> Selection:
-        """Return the server with the fewest requests of this VM, weighted by group."""
+        """Return the server with the fewest own requests, a preferred one if equal."""
         servers = len(view.loads)
         below = [state for state in eligible if view.loads[state.id] < view.bound]
         drawn, share = self._draw_candidates(below or eligible, servers, now)
--- a/src/ramppin/gateway/process/routing/prefixselection.py
+++ b/src/ramppin/gateway/process/routing/prefixselection.py
@@ -1,7 +1,7 @@
 """Selects servers for prompts: the home of the prefix, if it is below the load bound.
 
 Uses the homes that this VM knows (:mod:`~.homes`) and the prefixes that are requested
-often in the fleet (:mod:`~.hotprefixes`). The only state here is the rendezvous ranking.
+often in the fleet (:mod:`~.hotprefixes`). Keeps only the rendezvous ranking itself.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 
 HOT_HOME_SHARE = 1 / 3
 """Share of the bound per server of a hot prefix, once the peak load of its home reached
-the bound. VMs that choose at the same moment, as after a stall, all estimate the home to
-be free, and would overload it."""
+the bound. VMs that choose at the same moment, as after a stall, all estimate that the
+home is free, and would overload it."""
 
 
 class PrefixSelection(SelectionStrategy):
