--- a/src/ramppin/gateway/process/routing/nearestselection.py
+++ b/src/ramppin/gateway/process/routing/nearestselection.py
@@ -14,8 +14,8 @@
 from ramppin.gateway.process.routing.serverstate import ServerState
 
 OTHER_DOMAIN_PENALTY = 1
-"""Requests added to this VM's own at servers outside the preferred group (the near or the
-remote ones) when servers are compared."""
+"""Requests added to this VM's own at servers outside the preferred group (the near or
+the remote ones) when servers are compared."""
 
 
 class NearestSelection(SelectionStrategy):
