--- a/src/ramppin/gateway/process/routing/serverstate.py
+++ b/src/ramppin/gateway/process/routing/serverstate.py
@@ -1,7 +1,7 @@
-"""What a process knows of one start of a backend server.
+"""State that a process keeps for one incarnation of a backend server.
 
-Owns its entry in the log, this VM's requests in flight and those that wait there, its
-last load report and its health.
+Holds its entry in the log, the number of this VM's requests in flight and of those that
+wait there, its last load report and its health.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
         service: the service that it serves.
         host: its IP address.
         port: its port.
-        failure_domain: where it stands.
+        failure_domain: its failure domain.
         slots: requests that it runs at once; only a change of it is logged.
-        draining: whether it takes no new work.
-        started_ms: Unix time of its start in milliseconds; None if it does not say.
-        cold_s: seconds for which it is still cold as it writes its entry; of no weight
-            when entries are compared, since each tells less than the one before.
+        draining: whether it accepts no new requests.
+        started_ms: Unix time of its start in milliseconds; None if not stated.
+        cold_s: seconds for which it is still cold when it writes its entry; ignored
+            when entries are compared, since it decreases from entry to entry.
     """
 
     name: str
@@ -48,10 +48,10 @@
 
     @property
     def id(self) -> str:
-        """The id of its incarnation: what is known of one start ends with it.
+        """Id of its incarnation, to which all state about the server belongs.
 
-        VMs tell each other of servers by this id, so that what a VM says of an earlier
-        start is not taken for the new one.
+        VMs refer to servers by this id in their messages, so that reports on an earlier
+        start are not applied to a later one.
         """
         if self.started_ms is None:
             return self.name
@@ -59,31 +59,31 @@
 
 
 class ServerState:
-    """What a process knows about one incarnation of a backend server.
+    """State of one incarnation of a backend server.
 
     Args:
-        server: as it announced itself.
-        times: of its service's requests; None for some of its own.
-        stall_detector: of this process; None where it never stalls.
-        notices: what this start has said before; None for nothing.
+        server: the server as it announced itself.
+        times: response times of its service; None for separate ones.
+        stall_detector: stall detector of this process; None if it never stalls.
+        notices: earlier notices of this incarnation; None for no notices.
 
     Attributes:
-        id: the incarnation's.
+        id: id of the incarnation.
         server: its newest entry.
-        in_flight: requests of this VM that it has.
+        in_flight: number of requests of this VM that it holds.
         load: its newest load report.
-        waiting: requests that it keeps waiting, of this VM and of others.
-        times: of its service's requests.
-        health: what this VM saw of it.
-        evidence: what all VMs saw of it.
-        shedding: which other VMs it turns away.
+        waiting: requests that wait for it, of this VM and of its peers.
+        times: response times of its service.
+        health: failures and responses that this VM observed.
+        evidence: failures that all VMs observed.
+        shedding: other VMs whose requests it sheds.
         coldness: whether it is cold.
-        notices: what it said of itself in its answers.
-        missing: whether its entry has vanished.
+        notices: notices that it sent with its answers.
+        missing: whether its entry was removed.
         unreadable: whether its newest entry can't be read.
         restarted: whether it has ended, since a later start is known.
-        held_until: the loop's time until which an entry that vanished around an
-            outage of the log still counts, or None.
+        held_until: event loop time until which an entry that was removed around an
+            outage of the log remains in use, or None.
 
     .. versionadded:: 0.2
     """
@@ -114,48 +114,48 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether it says that it takes nothing new, by its entry or its answers.
+        """Whether its entry or its answers state that it accepts no new requests.
 
-        An entry that says otherwise may be older than the answer.
+        An entry without that statement may be older than the answer.
         """
         return self.server.draining or self.notices.leaving is not None
 
     def note_load(self, running: int, waiting: int, now: float) -> None:
-        """Take the load that an answer reported, in requests."""
+        """Record the load that an answer reported, in requests."""
         self.load.note_report(running + waiting, self.in_flight, now)
 
     def note_ended(self, request: object, now: float) -> None:
-        """Note that a request of this VM has ended, answered or not."""
+        """Record that a request of this VM has ended, answered or not."""
         self.waiting.note_ended(request, now, self.times.wait.mean_s)
 
     def count_overdue(self, now: float) -> int:
-        """Return how many requests of this VM wait longer than is usual, or did."""
+        """Return how many requests of this VM are overdue, or were when given up."""
         return self.waiting.count_overdue(now, self.times.wait.mean_s)
 
     def count_held(self, now: float) -> int:
-        """Return how many requests it holds at the least.
+        """Return the minimum number of requests that it holds.
 
-        Those of this VM, and those of which others told since they wait for long.
+        These are the requests of this VM, and the overdue ones that peers reported.
         """
         return self.count_own(now) + self.waiting.count_peer_overdue(now)
 
     def count_own(self, now: float) -> int:
         """Return how many requests of this VM it holds.
 
-        With those that this VM gave up and the server has not seen end.
+        Includes requests that this VM gave up and that the server may still hold.
         """
         return self.in_flight + self.waiting.count_abandoned(now)
 
     def find_known_load(self, now: float) -> int:
-        """Return the load of its newest report, at least what it holds for certain."""
+        """Return its newest reported load, at least the requests known to be held."""
         reported = self.load.requests if self.load.has_report(now) else 0
         return max(reported, self.count_held(now))
 
     def estimate_load(self, now: float, mean: float) -> float:
-        """Return how many requests the server is likely to hold.
+        """Return the estimated number of requests that the server holds.
 
         Args:
-            now: the loop's time.
+            now: event loop time.
             mean: mean load of the service's servers.
         """
         estimate = self.load.estimate(
