--- a/src/ramppin/gateway/process/routing/directory.py
+++ b/src/ramppin/gateway/process/routing/directory.py
@@ -1,7 +1,7 @@
-"""The backend servers that a process knows, by service.
+"""Directory of the backend servers that a process knows, by service.
 
-Owns what is known of each start of a server (:mod:`~.serverstate`); rebuilt from the
-log and from answers after a start of this process.
+Holds the state of each incarnation of a server (:mod:`~.serverstate`). It is rebuilt
+from the log and from answers after a start of this process.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
     """Backend servers by service.
 
     Args:
-        stall_detector: of this process; None where it never stalls.
+        stall_detector: stall detector of this process; None if it never stalls.
         read_time: returns the time of day in seconds.
 
     Attributes:
-        stall_detector: of this process.
-        evacuations: failure domains whose servers get no new work.
-        notices: what servers have said in their answers.
+        stall_detector: stall detector of this process.
+        evacuations: failure domains whose servers get no new requests.
+        notices: notices that servers sent with their answers.
 
     .. versionadded:: 0.2
     """
@@ -52,17 +52,17 @@
         return len(self._states)
 
     def find(self, server_id: str) -> ServerState | None:
-        """Return what is known about an incarnation of a backend server, or None."""
+        """Return the state of an incarnation of a backend server, or None."""
         return self._states.get(server_id)
 
     def find_newest(self, name: str) -> ServerState | None:
-        """Return what is known about the newest start of a backend server, or None."""
+        """Return the state of the newest incarnation of a backend server, or None."""
         return self._newest.get(name)
 
     def put(self, server: BackendServer) -> ServerState:
-        """Add a backend server, or take what changed of one.
+        """Add a backend server or update its entry.
 
-        What is known of another start of it is forgotten.
+        The state of another incarnation of the same server is discarded.
         """
         known = self._newest.get(server.name)
         if known is not None and known.id != server.id:
@@ -84,30 +84,30 @@
         return state
 
     def mark_unreadable(self, name: str) -> None:
-        """Use a backend server no more until a good entry of it comes."""
+        """Stop using a backend server until a readable entry of it arrives."""
         state = self._newest.get(name)
         if state is not None:
             state.unreadable = True
 
     def hold(self, name: str, until: float) -> None:
-        """Go on using a server whose entry vanished around an outage of the log.
+        """Keep using a server whose entry was removed around an outage of the log.
 
         Args:
-            name: under which it announced itself.
-            until: the loop's time at which it counts as gone.
+            name: the name under which it announced itself.
+            until: event loop time at which it counts as removed.
         """
         state = self._newest.get(name)
         if state is not None and state.held_until is None:
             state.held_until = until
 
     def mark_missing(self, name: str) -> None:
-        """Note that a backend server's entry vanished."""
+        """Record that the entry of a backend server was removed."""
         state = self._newest.get(name)
         if state is not None:
             state.missing = True
 
     def remove_missing(self, now: float) -> list[ServerState]:
-        """Remove servers whose entry is missing, and return them."""
+        """Remove servers whose entry is missing, or no longer held, and return them."""
         for state in self._states.values():
             if state.held_until is not None and now >= state.held_until:
                 state.held_until = None
@@ -124,24 +124,24 @@
         self._by_service[state.server.service].pop(state.id, None)
 
     def is_open(self, server_id: str) -> bool:
-        """Return whether a backend server may get new work."""
+        """Return whether a backend server is known and accepts new requests."""
         state = self._states.get(server_id)
         return state is not None and self.accepts_new_requests(state)
 
     def accepts_new_requests(self, state: ServerState) -> bool:
-        """Return whether nothing lasting closes a server."""
+        """Return whether a server has no lasting closure."""
         return find_lasting_closure(state, self.evacuations) is None
 
     def list_services(self) -> list[str]:
-        """Return the services that have, or had, backend servers."""
+        """Return the services that have or had backend servers."""
         return list(self._by_service)
 
     def find_copy_source(
         self, server_id: str | None, now: float
     ) -> BackendServer | None:
-        """Return a server from which a prefix can be copied, or None.
+        """Return the server if a prefix can be copied from it, or None.
 
-        One that is leaving will do, as long as it answers and is not yet gone.
+        A server that is leaving is used, as long as it is neither suspect nor missing.
         """
         state = self._states.get(server_id) if server_id else None
         if state is None or state.missing:
@@ -149,11 +149,11 @@
         return None if state.health.is_suspect(now) else state.server
 
     def list_service(self, service: str) -> list[ServerState]:
-        """Return the backend servers of a service, closed ones too."""
+        """Return the backend servers of a service, including closed ones."""
         return list(self._by_service.get(service, {}).values())
 
     def list_open(self, service: str) -> list[ServerState]:
-        """Return the backend servers of a service that nothing lasting closes."""
+        """Return the backend servers of a service without a lasting closure."""
         return [s for s in self.list_service(service) if self.accepts_new_requests(s)]
 
     def list_domain(self, domain: str) -> list[ServerState]:
