--- a/src/ramppin/gateway/process/routing/hotprefixes.py
+++ b/src/ramppin/gateway/process/routing/hotprefixes.py
@@ -1,9 +1,10 @@
-"""Which prefixes are asked for so often that one home is too few.
+"""Prefixes that are requested so often that one home is not enough.
 
-A VM among many sees few prompts of a prefix, and none of those that come in at other
-VMs at the same moment. So one that meets a prefix often, while its home fills up, tells
-all others, and each of them uses more servers for it. What was told is never told on.
-Owns the prefixes met at homes that fill up, and those that are hot. No I/O.
+One VM of a large fleet receives few prompts of a prefix, and none of those that arrive
+at other VMs at the same moment. So a VM that often receives prompts of a prefix whose
+home is at the load bound reports it to all others, and each of them uses more servers
+for it. Reports by peers are not forwarded. Holds the last prompts of such prefixes, and
+the prefixes that are hot. No I/O.
 """
 
 from __future__ import annotations
@@ -13,36 +14,37 @@
 from typing import TypeVar
 
 HOT_PERIOD_S = 5.0
-"""Seconds within which a prefix must be met again to be hot, and for which it then is.
-A cold one that two callers happened to ask for is taken for hot as long."""
+"""Seconds within which a prefix must occur again to become hot, and for which it then
+is hot. A rare prefix that two callers requested by chance is hot for as long."""
 
 MAX_PROMPTS_PER_SERVER = 0.5
-"""Parts of one server within which a prefix must be met again to be hot: with 37
-servers among 18 prompts of this VM. One that is a thousandth of the prompts is so by
-chance once in 50."""
+"""Prompts of this VM, per server of the service, within which a prefix must occur again
+to become hot: 18 prompts with 37 servers. A prefix with a thousandth of the prompts
+becomes hot by chance once in 50."""
 
 MAX_PREFIXES = 1000
-"""Prefixes of which each table keeps the time: the newest."""
+"""Maximum number of prefixes in each table; the oldest are dropped."""
 
 PREFIXES_PER_MESSAGE = 8
-"""Hot prefixes in one message, 72 bytes: with the rest it is not split."""
+"""Maximum number of hot prefixes in one message. They take 72 bytes, so that the
+message is not fragmented with the rest of its content."""
 
 NEVER = float("-inf")
-"""The loop's time of what has not happened."""
+"""Event loop time of an event that has not occurred."""
 
 _Value = TypeVar("_Value")
 
 
 @dataclass(frozen=True, slots=True)
 class _LastPrompt:
-    """When this VM last met a prefix: the loop's time, and the prompt's number."""
+    """Last prompt of a prefix at this VM: its event loop time and its number."""
 
     at: float
     prompt: int
 
 
 class HotPrefixes:
-    """Prefixes that need more servers than their home, as this VM and others see it.
+    """Prefixes that need more servers than their home, found by this VM or by peers.
 
     .. versionadded:: 0.3
     """
@@ -58,12 +60,12 @@
         self._prompts += 1
 
     def note_home_at_bound(self, key: int, servers: int, now: float) -> None:
-        """Note that the prompt counted last has a prefix whose home fills up.
+        """Record that the home of the last counted prompt's prefix is at the bound.
 
         Args:
-            key: of the prefix.
-            servers: how many the prompt's service has.
-            now: the loop's time.
+            key: key of the prefix.
+            servers: number of servers of the prompt's service.
+            now: event loop time.
         """
         last = self._last_prompts.get(key)
         _put_newest(self._last_prompts, key, _LastPrompt(now, self._prompts))
@@ -80,12 +82,12 @@
         return now - self._hot_at.get(key, NEVER) <= HOT_PERIOD_S
 
     def apply(self, keys: Iterable[int], now: float) -> None:
-        """Take the prefixes that a VM found hot."""
+        """Apply the prefixes that a VM found hot."""
         for key in keys:
             _put_newest(self._hot_at, key, now)
 
     def collect(self) -> list[int]:
-        """Return the prefixes that this VM found hot since the last call."""
+        """Return and clear prefixes that this VM found hot, at most one message's."""
         keys = list(self._pending)[:PREFIXES_PER_MESSAGE]
         for key in keys:
             del self._pending[key]
@@ -93,7 +95,7 @@
 
 
 def _put_newest(table: dict[int, _Value], key: int, value: _Value) -> None:
-    """Put an entry behind all others; the oldest one gives way."""
+    """Insert an entry as the newest, and drop the oldest one if the table is full."""
     table.pop(key, None)
     table[key] = value
     if len(table) > MAX_PREFIXES:
