--- a/src/ramppin/gateway/process/routing/failuregossip.py
+++ b/src/ramppin/gateway/process/routing/failuregossip.py
@@ -1,9 +1,9 @@
-"""What VMs tell each other of servers that fail.
+"""Gossip among VMs about failing servers.
 
-A VM among many meets each server rarely, so its own sight says little: a server may
-fail the requests of others long before this VM meets it again. Each VM tells the
-failures that it saw itself with its next hints; what it was told is never told on. No
-I/O.
+One VM of a large fleet uses each server rarely, so its own observations are not enough:
+a server may fail the requests of others long before this VM uses it again. Each VM
+sends the failures that it observed itself with its next hints; failures reported by
+peers are not forwarded. No I/O.
 """
 
 from __future__ import annotations
@@ -14,19 +14,21 @@
 from ramppin.gateway.process.routing.directory import ServerDirectory
 
 SERVERS_PER_MESSAGE = 8
-"""Servers in one message, 160 bytes: with the homes it is not split."""
+"""Maximum number of servers in one message. They take 160 bytes, so that the message is
+not fragmented with the homes."""
 
 MAX_FAILING_SHARE = 1 / 3
-"""Part of the servers that may fail in one message: a VM that sees more of them fail is
-likely to have bad links itself, and its word would eject servers that are well."""
+"""Largest share of the servers that one message may report as failing. A VM that sees
+more servers fail is likely to have faulty links itself, and its report would eject
+healthy servers."""
 
 
 class FailureGossip:
-    """Collects the failures to tell, and takes those that others tell.
+    """Collects the failures to send, and applies those that peers report.
 
     Args:
         directory: the backend servers.
-        failure_domain: where this VM stands.
+        failure_domain: failure domain of this VM.
 
     .. versionadded:: 0.2
     """
@@ -36,7 +38,7 @@
         self._failure_domain = failure_domain
 
     def collect(self, now: float) -> list[FailureHint]:
-        """Return the failures since the last call; count them here as well."""
+        """Return the failures since the last call, and record them as evidence here."""
         found = []
         for state in self._directory:
             count = state.health.pop_pending_failures()
@@ -51,12 +53,12 @@
     def apply(
         self, failures: Sequence[FailureHint], failure_domain: str, now: float
     ) -> None:
-        """Take the failures that another VM saw.
+        """Apply the failures that another VM observed.
 
         Args:
-            failures: by server.
-            failure_domain: where that VM stands.
-            now: the loop's time.
+            failures: number of failures by server.
+            failure_domain: failure domain of that VM.
+            now: event loop time.
         """
         for failure in failures:
             state = self._directory.find(failure.server)
