--- a/src/ramppin/gateway/process/routing/evacuation.py
+++ b/src/ramppin/gateway/process/routing/evacuation.py
@@ -1,8 +1,8 @@
-"""Which failure domains the operator has emptied: their servers get nothing new.
+"""Failure domains that the operator has evacuated: their servers get no new requests.
 
-What runs there ends as it would; the operator takes the domain back when its servers
-may be used again. Owns the operator's newest word on each failure domain, whether any
-server of it is known or not; rebuilt from the log after a start. No I/O.
+Requests that run there are not interrupted; the operator ends the evacuation when the
+servers may be used again. Holds the evacuations in force, also of failure domains
+without a known server; rebuilt from the log after a start. No I/O.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from ramppin.errors import SettingsError
 
 EVACUATION_PREFIX = "evacuated/"
-"""Of the keys of records that empty a failure domain, in ramppin's own tables; its name
-follows."""
+"""Prefix of the keys of evacuation records in ramppin's own tables; the name of the
+failure domain follows."""
 
 
 @dataclass(frozen=True, slots=True)
 class Evacuation:
-    """The operator's word that a failure domain gets nothing.
+    """Evacuation of a failure domain by the operator.
 
     Attributes:
         domain: the failure domain.
-        offset: of the record that says so.
-        since: the loop's time at which this VM put it in force.
+        offset: offset of the evacuation record.
+        since: event loop time at which this VM applied it.
     """
 
     domain: str
@@ -33,7 +33,7 @@
 
 
 class Evacuations:
-    """The failure domains that are emptied now.
+    """The failure domains that are evacuated now.
 
     .. versionadded:: 0.3
     """
@@ -51,13 +51,13 @@
         return len(self._by_domain)
 
     def begin(self, domain: str, offset: int, now: float) -> bool:
-        """Empty a failure domain; return whether it was not emptied before.
+        """Evacuate a failure domain; return whether it was not evacuated before.
 
         Args:
-            domain: the failure domain; one without a known server counts as well, since
-                servers may come up there.
-            offset: of the record that says so.
-            now: the loop's time.
+            domain: the failure domain; it may have no known server, since servers may
+                start there later.
+            offset: offset of the evacuation record.
+            now: event loop time.
         """
         if domain in self._by_domain:
             return False
@@ -65,15 +65,15 @@
         return True
 
     def end(self, domain: str) -> Evacuation | None:
-        """Take a failure domain back; return what was in force, or None."""
+        """End the evacuation of a failure domain; return it, or None if none was set."""
         return self._by_domain.pop(domain, None)
 
 
 def parse_domain(key: str, prefix: str) -> str | None:
-    """Return the failure domain that follows a prefix in a key, or None.
+    """Return the failure domain after a prefix in a key, or None without the prefix.
 
     Raises:
-        SettingsError: the prefix stands there, and no name that a domain may have.
+        SettingsError: the text after the prefix is not a valid failure domain.
     """
     if not key.startswith(prefix):
         return None
