--- a/src/ramppin/gateway/process/routing/incarnation.py
+++ b/src/ramppin/gateway/process/routing/incarnation.py
@@ -1,7 +1,7 @@
-"""Whether an entry of a backend server is of a later start than the one known.
+"""Determines whether an entry of a backend server belongs to a later start.
 
-A server that starts again may keep its id. It then holds and knows nothing of before,
-so what is known of the earlier start must not count for the later one. Pure functions.
+A server may keep its name across a restart, but it loses all of its state. So the state
+that is kept for the earlier start must not be used for the later one. Pure functions.
 """
 
 from __future__ import annotations
@@ -10,23 +10,23 @@
 
 
 class StartVerdict(Enum):
-    """What an entry's start says beside the known one."""
+    """How the start of an entry compares to the known start."""
 
     SAME = "same"
     LATER = "later"
     EARLIER = "earlier"
     UNSTATED = "untold"
-    """The known start was told, this entry tells none: another writer's."""
+    """The known entry states a start and this one does not: it has another writer."""
 
 
 def judge_start(known_ms: int | None, entry_ms: int | None) -> StartVerdict:
-    """Return what an entry's start says beside the known one.
+    """Return how the start of an entry compares to the known start.
 
-    A server that never tells its start is one incarnation as long as its entry lasts.
+    A server that never states its start is one incarnation as long as its entry exists.
 
     Args:
         known_ms: start of the known incarnation, Unix time in milliseconds, or None.
-        entry_ms: start that the entry tells, or None.
+        entry_ms: start that the entry states, or None.
     """
     if entry_ms == known_ms:
         return StartVerdict.SAME
