--- a/src/ramppin/gateway/process/routing/evacuation.py
+++ b/src/ramppin/gateway/process/routing/evacuation.py
@@ -65,7 +65,7 @@
         return True
 
     def end(self, domain: str) -> Evacuation | None:
-        """End the evacuation of a failure domain; return it, or None if none was set."""
+        """End the evacuation of a failure domain; return it, or None if unset."""
         return self._by_domain.pop(domain, None)
 
 
