--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -202,7 +202,7 @@
         log_up = self._is_log_up(now)
         hot = self._homes.hot.collect()
         suspects = self._suspects.collect(now)
-        has_news = (
+        has_updates = (
             bool(announcements or failures or loads.waits or hot or suspects)
             or self._notices.has_pending
             or log_up != self._sent_log_up
@@ -210,17 +210,17 @@
         leaving = self._notices.collect(now)
         backoffs = self._notices.collect_backoffs(now)
         self._sent_log_up = log_up
-        for near, told in ((True, loads.near), (False, loads.far)):
+        for near, server_loads in ((True, loads.near), (False, loads.far)):
             due_s = self._members.choose_heartbeat_s(near=near)
             waits = now - self._sent_at[near] < due_s
-            if not has_news and not told and waits:
+            if not has_updates and not server_loads and waits:
                 continue
             hints = PeerHints(
                 self._vm,
                 homes,
                 log_up,
                 failures,
-                told,
+                server_loads,
                 loads.waits,
                 hot,
                 suspects,
