--- a/src/ramppin/gateway/request/retry.py
+++ b/src/ramppin/gateway/request/retry.py
@@ -122,7 +122,7 @@
     end: AttemptEnd,
     *,
     has_budget: bool,
-    ends_servers: bool = False,
+    crashes_servers: bool = False,
 ) -> Verdict:
     """Return whether a request may be sent again after an attempt.
 
@@ -133,14 +133,14 @@
         progress: how far the request has come.
         end: how the attempt ended.
         has_budget: whether the budget allows one more retry.
-        ends_servers: whether its server may have ended, and sending it again is likely
+        crashes_servers: whether its server may have ended, and sending it again is likely
             to end one more.
     """
     if end is AttemptEnd.NOT_SENT:
         return Verdict.SEND
     if end is AttemptEnd.TIMED_OUT:
         return Verdict.TIMED_OUT
-    if ends_servers:
+    if crashes_servers:
         return Verdict.QUARANTINED
     if end is not AttemptEnd.REJECTED:
         verdict = _judge_run_again(route, progress)
