--- a/src/ramppin/gateway/request/retry.py
+++ b/src/ramppin/gateway/request/retry.py
@@ -1,14 +1,13 @@
-"""Whether a request is sent, and sent again.
+"""Decides whether a request is sent and retried.
 
-All rules on a further attempt stand here: before one is made
-(:func:`judge_try`), after one has ended (:func:`judge_retry`), and while one
-waits for a server that is unresponsive (:func:`judge_takeover`). They read typed
-inputs, do no I/O and change nothing; :class:`~.exchange.Exchange` carries them
-out and takes what the budget allows.
+Contains all rules for further attempts: before an attempt (:func:`judge_try`), after
+it has ended (:func:`judge_retry`), and while it waits for an unresponsive server
+(:func:`judge_takeover`). The functions are pure; :class:`~.exchange.Exchange` applies
+their verdicts and counts retries in the budget.
 
-The reasons: a request that may have run must not run again unless its route says
-that it may; retries must not multiply the load of a failure, so all VMs together
-stay within a budget (:mod:`ramppin.gateway.process.limits.retrybudget`).
+A request that may have run must not run again unless its route allows it. Retries must
+not multiply the load during a failure, so all VMs together stay within a budget
+(:mod:`ramppin.gateway.process.limits.retrybudget`).
 """
 
 from __future__ import annotations
@@ -22,26 +21,27 @@
 from ramppin.gateway.version.routing import Route
 
 MAX_TRIES = 4
-"""Servers that one request may try, failed connections included, and those left out
-that turned it away for a time of rest."""
+"""Maximum number of servers that one request may try, including failed connections but
+not servers that refused it with a back-off."""
 
 MAX_BACKOFF_REFUSALS = 8
-"""Servers that may turn one request away for a time of rest. Each costs milliseconds
-and is closed from then on, so trying on serves the requests that come after as well."""
+"""Maximum number of servers that may refuse one request with a back-off. A refusal
+costs milliseconds and closes the server to later requests too, so trying others also
+benefits those."""
 
 MIN_TIME_LEFT_S = 0.02
-"""Seconds below which another attempt could not be answered in time."""
+"""Minimum remaining time in seconds for an attempt that can be answered in time."""
 
 
 @dataclass(slots=True)
 class Progress:
-    """How far a request has come.
+    """Progress of a request.
 
     Attributes:
-        tries: servers tried, failed connections included.
-        backoff_refusals: those of them that turned it away for a time of rest.
-        runs: attempts that a server may have run.
-        answer_started: whether the caller has got a part of an answer.
+        tries: number of servers tried, including failed connections.
+        backoff_refusals: number of those that refused the request with a back-off.
+        runs: number of attempts that a server may have run.
+        answer_started: whether part of an answer was sent to the caller.
     """
 
     tries: int = 0
@@ -51,22 +51,22 @@
 
 
 class Verdict(Enum):
-    """Whether a request is sent, or the rule that forbids it."""
-
-    SEND = "it may be sent"
-    QUARANTINED = "servers ended under it, one after the other"
-    NO_SERVER = "no server is left to choose from"
-    COLD = "its servers are cold, and this VM has no place there now"
-    RESTING = "its servers have asked this VM for rest"
-    EVACUATED = "all its servers stand in emptied failure domains"
-    LEAVING = "all its servers say that they leave"
-    TRIES_SPENT = "it has tried as many servers as one request may"
-    TIME_SPENT = "too little time is left"
-    TIMED_OUT = "its time was over during an attempt"
-    NOT_REPEATABLE = "it may have run, and its route may not be repeated"
-    ATTEMPTS_SPENT = "servers may have run it as often as its route allows"
-    ANSWER_STARTED = "its caller has a part of an answer that can't be resumed"
-    BUDGET_SPENT = "the budget of retries is spent"
+    """Permission to send a request, or the rule that forbids it."""
+
+    SEND = "the request may be sent"
+    QUARANTINED = "servers crashed while running the request, one after another"
+    NO_SERVER = "no server is available"
+    COLD = "the servers are cold and this VM's quota is used up"
+    RESTING = "the servers asked this VM to back off"
+    EVACUATED = "all servers are in evacuated failure domains"
+    LEAVING = "all servers announced that they are leaving"
+    TRIES_SPENT = "the maximum number of servers was tried"
+    TIME_SPENT = "not enough time is left for an attempt"
+    TIMED_OUT = "the time limit expired during an attempt"
+    NOT_REPEATABLE = "the request may have run and its route is not repeatable"
+    ATTEMPTS_SPENT = "the request may have run as often as its route allows"
+    ANSWER_STARTED = "part of an answer was sent and can't be resumed"
+    BUDGET_SPENT = "the retry budget is exhausted"
 
     @property
     def allows(self) -> bool:
@@ -80,7 +80,8 @@
     ClosureReason.EVACUATED: Verdict.EVACUATED,
     ClosureReason.LEAVING: Verdict.LEAVING,
 }
-"""What is told where servers are closed for several reasons: what ends first."""
+"""Verdicts by closure reason. If servers are closed for different reasons, the first
+match is reported, which is the reason that ends soonest."""
 
 
 def judge_try(
@@ -89,9 +90,10 @@
     """Return whether a request may be sent to one more server.
 
     Args:
-        progress: how far the request has come.
-        time_left_s: seconds until the request is given up.
-        is_quarantined: whether it is refused since servers ended under it.
+        progress: progress of the request.
+        time_left_s: seconds until the request's time limit expires.
+        is_quarantined: whether the request is refused because servers crashed while
+            running it.
     """
     if is_quarantined:
         return Verdict.QUARANTINED
@@ -105,10 +107,10 @@
 
 
 def judge_no_server(reasons: Collection[ClosureReason]) -> Verdict:
-    """Return why no server is left to choose from.
+    """Return the verdict for a request for which no server is available.
 
     Args:
-        reasons: what closes the servers that the request has not tried.
+        reasons: closure reasons of the servers that the request has not tried.
     """
     for reason, verdict in _CLOSURE_VERDICTS.items():
         if reason in reasons:
@@ -124,17 +126,17 @@
     has_budget: bool,
     crashes_servers: bool = False,
 ) -> Verdict:
-    """Return whether a request may be sent again after an attempt.
+    """Return whether a request may be retried after an attempt.
 
-    An attempt of which no byte left costs no budget: no server saw it.
+    An attempt that sent no byte uses no budget, since it reached no server.
 
     Args:
         route: the request's route.
-        progress: how far the request has come.
+        progress: progress of the request.
         end: how the attempt ended.
         has_budget: whether the budget allows one more retry.
-        crashes_servers: whether its server may have ended, and sending it again is likely
-            to end one more.
+        crashes_servers: whether the server may have crashed and a retry is likely to
+            crash another one.
     """
     if end is AttemptEnd.NOT_SENT:
         return Verdict.SEND
@@ -154,13 +156,13 @@
 ) -> Verdict:
     """Return whether another server may take over from an unresponsive one.
 
-    The attempt is given up only if another can follow at once; otherwise the
-    request is better off waiting.
+    The attempt is cancelled only if another can follow immediately; otherwise waiting
+    has the better chance of an answer.
 
     Args:
         route: the request's route.
-        progress: how far the request has come, the waiting attempt included.
-        has_other_server: whether a server is open, untried and not suspect.
+        progress: progress of the request, including the waiting attempt.
+        has_other_server: whether there is an open, untried server that is not suspect.
         has_budget: whether the budget allows one more retry.
     """
     verdict = _judge_run_again(route, progress)
@@ -172,7 +174,7 @@
 
 
 def _judge_run_again(route: Route, progress: Progress) -> Verdict:
-    """Return whether a request that may have run may run once more."""
+    """Return whether a request that may have run may run again."""
     if not route.repeatable:
         return Verdict.NOT_REPEATABLE
     if progress.runs >= route.max_attempts:
