--- a/src/ramppin/gateway/request/serverchoice.py
+++ b/src/ramppin/gateway/request/serverchoice.py
@@ -1,8 +1,8 @@
-"""Which backend server gets the next attempt of one request, or why none does.
+"""Selects the backend server for the next attempt of a request.
 
-Joins what is open (:mod:`ramppin.gateway.process.routing.gate`), what the request has
-tried and what it did to servers, and asks the strategy of its route. Owns the servers
-that the request has tried.
+Combines which servers are open (:mod:`ramppin.gateway.process.routing.gate`), which
+the request has tried and which it may have crashed, and calls the selection strategy.
+Owns the set of servers that the request has tried.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 
 class ServerChoice:
-    """Chooses servers for one request.
+    """Selects servers for one request.
 
     Args:
-        context: what exchanges share.
-        admission: of the request.
-        watch: what the request does to servers.
+        context: state shared by all exchanges.
+        admission: result of the request's admission.
+        watch: records whether servers crash while running the request.
 
     Attributes:
-        closed: servers that were closed at the last choice, as ``REASON:ID``.
+        closed: servers that were closed at the last selection, as ``REASON:ID``.
 
     .. versionadded:: 0.3
     """
@@ -47,7 +47,7 @@
         self.closed: tuple[str, ...] = ()
 
     def select(self, now: float) -> Selection | Verdict:
-        """Return the server for the next attempt, or why there is none."""
+        """Return the server for the next attempt, or the verdict if there is none."""
         context, service = self._context, self._admission.service
         survey = context.gate.survey(service, now)
         self.closed = survey.list_closure_labels()
@@ -68,36 +68,36 @@
         return replace(selection, closed=self.closed)
 
     def find_obstacle(self, state: ServerState, now: float) -> str:
-        """Return why the request may not go to its server any more, or empty.
+        """Return why the request may no longer be sent to its server, or "".
 
-        Asked again before a byte is sent: what is known may have changed while the
-        request waited for a connection.
+        Checked just before sending, since the server's state or the quarantine may have
+        changed while the request waited for a connection.
 
         Args:
-            state: the server that was chosen.
-            now: the loop's time.
+            state: the selected server.
+            now: current event-loop time.
         """
         closure = self._context.gate.find_closure(state, now)
         if closure is not None:
-            return f"the server closed meanwhile: {closure.reason.value}"
-        return "" if self._watch.may_try(now) else "servers ended under it meanwhile"
+            return f"server closed before the request was sent: {closure.reason.value}"
+        return "" if self._watch.may_try(now) else "request quarantined while it waited"
 
     def has_other_server(self, now: float) -> bool:
-        """Return whether a server is open, untried and not suspect."""
+        """Return whether there is an open, untried server that is not suspect."""
         survey = self._context.gate.survey(self._admission.service, now)
         return has_healthy_server(survey.list_open(), self._tried, now)
 
     def choose_retry_after_s(self, now: float, ends_at: float) -> float:
-        """Return when the caller may come back if no server ran its request.
+        """Return the ``Retry-After`` time in seconds if no server ran the request.
 
         Args:
-            now: the loop's time.
-            ends_at: the loop's time at which the request is given up.
+            now: current event-loop time.
+            ends_at: event-loop time at which the request's time limit expires.
         """
         context = self._context
         refusal_s = self._watch.measure_remaining_refusal_s(now)
         if refusal_s > 0:
-            # Before that it would be refused again.
+            # An earlier retry would be refused again.
             return refusal_s
         survey = context.gate.survey(self._admission.service, now)
         open_states = survey.list_open()
