--- a/src/ramppin/gateway/request/finalanswer.py
+++ b/src/ramppin/gateway/request/finalanswer.py
@@ -1,9 +1,9 @@
-"""What the caller gets when no attempt has delivered an answer.
+"""Final answer to a request for which no attempt delivered an answer.
 
-A request that is given up on is answered at once. ``503`` and ``Retry-After`` say
-that it did not run and when to come back; ``502`` and ``504`` say that it may have
-run, so they name no time. A stream that has begun can't be answered any more and
-is cut, so that it can't look whole.
+Such a request is answered immediately. ``503`` with ``Retry-After`` states that it did
+not run and when to retry; ``502`` and ``504`` state that it may have run, so they have
+no ``Retry-After``. A stream that has started is aborted, so that the caller can't
+mistake it for a complete answer.
 """
 
 from __future__ import annotations
@@ -25,29 +25,29 @@
 """Status of a request that a server may have run."""
 
 TIMED_OUT_STATUS = 504
-"""Status of a request that a server may have run and whose time is over."""
+"""Status of a request that a server may have run and that timed out."""
 
 
 class Ending(Enum):
-    """How a request that was not delivered is ended."""
+    """How a request without a delivered answer is ended."""
 
-    REFUSE = "an answer of the gateway's own"
-    RELAY = "the server's own failure, unchanged"
-    CUT = "no further byte, and the connection closed"
+    REFUSE = "the gateway sends its own error response"
+    RELAY = "the server's error response is relayed"
+    CUT = "the connection is closed without further bytes"
 
 
 @dataclass(frozen=True, slots=True)
 class FinalAnswer:
-    """How a request is ended.
+    """Final answer to a request.
 
     Attributes:
-        ending: what is done.
-        status: the HTTP status that is answered or, for a stream that is cut, that
-            the server's last answer had.
+        ending: how the request is ended.
+        status: HTTP status of the response or, for an aborted stream, of the server's
+            last answer.
         reason: the rule that ended the request.
-        retry_after_s: when to come back, in seconds; None if it says nothing. It stands
-            in place of what a relayed answer says.
-        server_answer: head and body that are relayed; None for any other ending.
+        retry_after_s: value of ``Retry-After`` in seconds, which replaces that of a
+            relayed answer; None to send no such header.
+        server_answer: head and body to relay; None for any other ending.
     """
 
     ending: Ending
@@ -60,12 +60,12 @@
 def answer_denied(denial: Denial, time_left_s: float | None = None) -> FinalAnswer:
     """Return the answer to a request that was not admitted.
 
-    Other denials than those of a VM that starts or stops would be repeated: they name
-    no time.
+    Only denials by a VM that is starting or stopping have ``Retry-After``: a retry
+    after any other denial would be denied again.
 
     Args:
-        denial: why.
-        time_left_s: time until its caller gives up; None if it is unknown.
+        denial: why the request was not admitted.
+        time_left_s: seconds until the caller's deadline; None if it is unknown.
     """
     pause_s = None
     if denial is Denial.NO_SETTINGS:
@@ -84,10 +84,10 @@
     """Return the answer to a request for which no further server can be tried.
 
     Args:
-        progress: how far the request has come.
-        last: its last attempt, after which a retry was allowed; None before any.
-        reason: the rule that stopped it.
-        retry_after_s: when it may come back if no server ran it.
+        progress: progress of the request.
+        last: the last attempt, after which a retry was allowed; None if there was none.
+        reason: the rule that stopped the request.
+        retry_after_s: value of ``Retry-After`` in seconds if no server ran the request.
     """
     if progress.answer_started:
         return FinalAnswer(Ending.CUT, last.status if last else 0, reason)
@@ -101,17 +101,17 @@
 def answer_failed(
     progress: Progress, last: AttemptResult, reason: Verdict, retry_after_s: float
 ) -> FinalAnswer:
-    """Return the answer to a request that may not be sent again.
+    """Return the answer to a request that may not be retried.
 
     Args:
-        progress: how far the request has come.
+        progress: progress of the request.
         last: the attempt after which no retry is allowed.
-        reason: the rule that forbids it.
-        retry_after_s: when it may come back if no server ran it.
+        reason: the rule that forbids a retry.
+        retry_after_s: value of ``Retry-After`` in seconds if no server ran the request.
     """
     has_answer = last.answer is not None and last.end is AttemptEnd.FAILED
     if has_answer and not progress.answer_started:
-        # The server's own time was said to this VM; another may have a server open.
+        # The server's Retry-After applies to this VM; other servers may be open.
         pause_s = retry_after_s if last.status in BACKOFF_STATUSES else None
         return FinalAnswer(Ending.RELAY, last.status, reason, pause_s, last.answer)
     return answer_stopped(progress, last, reason, retry_after_s)
