--- a/src/ramppin/gateway/request/admission.py
+++ b/src/ramppin/gateway/request/admission.py
@@ -1,8 +1,8 @@
-"""Whether a request is served at all, and by which rules.
+"""Decides whether a request is admitted, and by which settings it is served.
 
-The settings in force when a request is whole decide; a key that is taken away is
-refused from the next request on, also on open connections. No I/O; nothing here is
-kept between requests.
+The settings in force when a request has been received completely apply; a revoked key
+is refused from the next request on, also on open connections. No I/O, and no state
+between requests.
 """
 
 from __future__ import annotations
@@ -24,22 +24,23 @@
 )
 
 POINTS = 2.0**32
-"""Points of a split to which prefixes are mapped; their keys are 64-bit hashes, of
-which the low half serves."""
+"""Number of points of a split to which prefix keys are mapped. The keys are 64-bit
+hashes, of which the low 32 bits are used."""
 
 
 FIRST_READ_WAIT_S = 1.0
-"""Seconds for which a request waits while settings and servers are read for the first
-time, mostly 0.02 to 0.35 s after a VM listens. A refusal costs its caller one of its
-one or two retries, which meets a VM that starts as well: with 0.5 s 67 requests of a
-day were refused, most of them after all VMs were killed."""
+"""Maximum time in seconds that a request waits for the first read of settings and
+servers, which mostly completes 0.02 to 0.35 s after a VM starts listening. A refusal
+costs the caller one of its one or two retries, which may reach another starting VM:
+with 0.5 s, 67 requests per day were refused, most of them after all VMs were killed."""
 
 FIRST_READ_SHARE = 0.5
-"""Part of a caller's deadline for which it waits; the rest is for its answer."""
+"""Maximum fraction of the caller's deadline spent waiting for the first read; the rest
+is for the answer."""
 
 
 class Denial(Enum):
-    """Why a request is refused before any server is chosen, in the order checked."""
+    """Why a request is refused before a server is selected, in the order checked."""
 
     NO_SETTINGS = (503, "no settings yet")
     NO_HOST = (400, "no host")
@@ -60,17 +61,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """What the settings say about an admitted request.
+    """Settings that apply to an admitted request.
 
     Attributes:
-        table: the settings that decided.
+        table: the settings in force at admission.
         route: the request's route.
-        customer: the customer that owns its key; None on a public route.
-        service: the service of the route's split that serves it.
-        prefix_key: hash of the prompt's shared prefix; None if it has none or its
-            servers cache none.
-        fingerprint: of the request, the same each time that it is sent.
-        time_limit_s: seconds from its arrival until it is given up.
+        customer: the customer that owns the API key; None on a public route.
+        service: the service selected from the route's split.
+        prefix_key: hash of the prompt's shared prefix; None if it has none or the
+            servers cache no prefixes.
+        fingerprint: hash of the request, the same each time that it is sent.
+        time_limit_s: time limit in seconds from the request's arrival.
         ignored_deadline: the caller's deadline if it is not a number, else None.
     """
 
@@ -93,15 +94,15 @@
     generator: random.Random,
     now: float,
 ) -> Admission | Denial:
-    """Return by which rules a request is served, or why it is not.
+    """Return the settings that apply to a request, or why it is denied.
 
     Args:
-        request: the request, whole.
-        table: the settings in force; None before the first.
-        names: names of headers.
-        drain: the planned stop that has begun, or None.
-        generator: draws the service of a split route.
-        now: the loop's time.
+        request: the complete request.
+        table: the settings in force; None if none have been loaded.
+        names: configured header names.
+        drain: the planned stop in progress, or None.
+        generator: random source for the service of a split route.
+        now: current event-loop time.
     """
     if table is None:
         return Denial.NO_SETTINGS
@@ -137,13 +138,13 @@
 def find_customer(
     request: CallerRequest, table: RoutingTable, names: HeaderNames
 ) -> Customer | None:
-    """Return the customer that owns a request's key, or None."""
+    """Return the customer that owns the request's API key, or None."""
     key = request.find(names.api_key)
     return table.customers.get(key.decode("latin-1")) if key is not None else None
 
 
 def parse_deadline(value: bytes | None) -> float | None:
-    """Return a caller's deadline in seconds; None if there is no number."""
+    """Return a caller's deadline in seconds; None if absent or not a number."""
     if value is None:
         return None
     try:
@@ -153,10 +154,10 @@
 
 
 def choose_first_read_wait_s(deadline_s: float | None) -> float:
-    """Return how long a request waits for settings and servers to be read first.
+    """Return how long a request waits for the first read of settings and servers.
 
     Args:
-        deadline_s: time that its caller will wait, in seconds; None if it is unknown.
+        deadline_s: the caller's deadline in seconds; None if it is unknown.
     """
     if deadline_s is None:
         return FIRST_READ_WAIT_S
@@ -164,9 +165,10 @@
 
 
 def draw_point(prefix_key: int | None, generator: random.Random) -> float:
-    """Return the point of a split, from 0 up to 1, that serves a request.
+    """Return a point in [0, 1) that selects the service of a split.
 
-    Prompts of one prefix go to one service of a split, so that it is cached there.
+    Prompts with the same prefix get the same service, so that the prefix is cached
+    there; requests without a prefix get a random one.
     """
     if prefix_key is None:
         return generator.random()
