--- a/src/ramppin/gateway/request/answerkind.py
+++ b/src/ramppin/gateway/request/answerkind.py
@@ -1,8 +1,9 @@
-"""What a backend server's whole answer says of its request.
+"""Classifies the answers of backend servers.
 
-A success counts only with the server's signature and without a content coding:
-anything between could have sent it otherwise. A server that did not run a request
-says so with a marked answer, or with ``421`` if it is not the one addressed. Pure.
+A success is accepted only with the server's signature header and without a content
+coding; otherwise an intermediary could have sent it. A server that did not run a
+request marks its answer with a header, or sends ``421`` if it is not the one addressed.
+Pure.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 from ramppin.gateway.request.servernotice import MISDIRECTED
 
 NOT_RUN_STATUSES = frozenset({400, 408, 421, 429, 503})
-"""HTTP statuses with which a server may say that it did not run a request."""
+"""HTTP statuses with which a server may state that it did not run a request."""
 
 
 class AnswerKind(Enum):
-    """What an answer says."""
+    """Class of an answer."""
 
-    SUCCESS = "a success of the server's own"
-    UNSIGNED = "a success that is not the server's own"
+    SUCCESS = "success with the server's signature"
+    UNSIGNED = "success without the server's signature or with a content coding"
     REJECTED = "the server did not run the request"
     MISDIRECTED = "the server is not the one addressed"
-    CLIENT_ERROR = "the request is at fault"
+    CLIENT_ERROR = "the request is invalid"
     SERVER_ERROR = "the server failed"
 
     @property
@@ -36,7 +37,7 @@
 
     @property
     def outcome(self) -> Outcome:
-        """What the answer shows about the server's health."""
+        """Outcome to record for the server's health."""
         return _OUTCOMES[self]
 
 
@@ -60,11 +61,11 @@
 
 
 def judge_answer(head: AnswerHead, names: HeaderNames) -> AnswerKind:
-    """Return what an answer's head says.
+    """Return the class of an answer.
 
     Args:
         head: status and headers.
-        names: names of headers.
+        names: configured header names.
     """
     if 200 <= head.status < 300:
         is_own = find_header(head.headers, names.signature) is not None
