--- a/src/ramppin/gateway/request/retryafter.py
+++ b/src/ramppin/gateway/request/retryafter.py
@@ -1,10 +1,10 @@
-"""When a caller whose request did not run may come back.
+"""Computes ``Retry-After`` for requests that did not run.
 
-It should find a server that takes it, not meet all others refused at the same
-moment, and have time left for its answer. So the pause lasts until a server is likely
-to be open, is spread, is shorter for the more urgent, and takes no more than a third
-of the time that is left, which is what callers honour. It is never shorter than the
-time for which every server is known to be closed. No I/O.
+The pause lasts until a server is likely to be open. It has jitter, so that callers
+refused at the same moment don't all retry at once, and is shorter for requests with
+more urgent priority. It takes at most a third of the remaining time, which is the limit
+up to which callers honour it and leaves time for the answer. It is never shorter than
+the time for which every server is known to be closed. No I/O.
 """
 
 from __future__ import annotations
@@ -14,40 +14,40 @@
 from ramppin.gateway.process.routing.serverstate import ServerState
 
 MIN_PAUSE_S = 0.1
-"""Seconds of the shortest pause, where a server is open now: a few answers of a server,
-so that the place that was missing is free."""
+"""Minimum pause in seconds, used if a server is open now: long enough for a server to
+finish a few requests and so have capacity again."""
 
 NO_SERVER_PAUSE_S = 0.5
-"""Seconds until a service without servers is looked at again: its list is read each 0.8
-to 1.8 s."""
+"""Pause in seconds for a service without servers, whose list is read every 0.8 to
+1.8 s."""
 
 JITTER_SHARE = 0.5
-"""Part of the pause by which it is spread."""
+"""Maximum jitter as a fraction of the pause."""
 
 RANK_STEP = 0.25
-"""Part of the pause by which each rank of priority adds to it."""
+"""Fraction of the pause that is added for each rank of priority."""
 
 MAX_RANK = 3
-"""Rank from which on all wait alike."""
+"""Rank above which the pause does not increase any more."""
 
 MAX_TIME_SHARE = 1 / 3
-"""Part of the time left that a pause may take."""
+"""Maximum pause as a fraction of the remaining time."""
 
 START_PAUSE_S = 0.5
-"""Seconds of pause at a VM that has just started, for a caller that names no deadline:
-longer than settings take to be in force where the log answers."""
+"""Pause in seconds at a VM that has just started, for a caller without a deadline:
+longer than it takes to load settings while the log is available."""
 
 STOP_PAUSE_S = 0.05
-"""Seconds after which another VM takes what a stopping one refuses: hardly more than a
-new connection takes."""
+"""Pause in seconds for requests that a stopping VM refuses: another VM can accept them
+as soon as the caller has opened a new connection."""
 
 
 def find_opening_s(states: Sequence[ServerState], now: float) -> float:
-    """Return in how many seconds a server is likely to take a request.
+    """Return the seconds until a server is likely to accept a request.
 
     Args:
         states: the open servers of a service.
-        now: the loop's time.
+        now: current event-loop time.
     """
     if not states:
         return NO_SERVER_PAUSE_S
@@ -61,14 +61,14 @@
 
 
 def choose_start_pause_s(time_left_s: float | None) -> float:
-    """Return the pause to ask for at a VM that knows no settings yet.
+    """Return the pause in seconds at a VM that has not loaded settings yet.
 
-    Its request has waited in vain for the log and for peers: the log is away, and so
-    are the VMs that know what it says. That lasts seconds, while most callers come
-    back but once, so they come back as late as they would.
+    The request has already waited for the log and for peers, so neither the log nor a
+    VM with its contents is reachable. That lasts for seconds, while most callers retry
+    only once, so the pause is the longest that callers honour.
 
     Args:
-        time_left_s: time until the caller gives up; None if it is unknown.
+        time_left_s: seconds until the caller's deadline; None if it is unknown.
     """
     if time_left_s is None:
         return START_PAUSE_S
@@ -83,15 +83,16 @@
     point: float,
     closed_s: float = 0.0,
 ) -> float:
-    """Return the pause to ask for, in seconds.
+    """Return the value of ``Retry-After`` in seconds.
 
     Args:
-        opening_s: from :func:`find_opening_s`.
-        time_left_s: time until the request is given up.
+        opening_s: seconds until a server is likely to be open, usually from
+            :func:`find_opening_s`.
+        time_left_s: seconds until the request's time limit expires.
         rank: the route's priority; 0 is the most urgent.
-        point: a random number from 0 up to 1.
-        closed_s: seconds for which every server is known to be closed; 0 if one may
-            be open before. A caller that comes back within them is refused again.
+        point: random number in [0, 1) for the jitter.
+        closed_s: seconds for which every server is known to be closed, or 0. A retry
+            within this time is refused again.
     """
     base_s = max(MIN_PAUSE_S, opening_s)
     factor = 1 + RANK_STEP * min(max(rank, 0), MAX_RANK) + JITTER_SHARE * point
