--- a/src/ramppin/gateway/request/attempt.py
+++ b/src/ramppin/gateway/request/attempt.py
@@ -61,7 +61,7 @@
         note_notice: takes what the server says of itself, as soon as its head is there.
 
     Attributes:
-        started: whether the caller has got a part of an answer, of this attempt or
+        answer_started: whether the caller has got a part of an answer, of this attempt or
             of those before it.
 
     .. versionadded:: 0.2
@@ -101,7 +101,7 @@
         self._received_at = 0.0
         self._paused = False
         self._check_timer: asyncio.TimerHandle | None = None
-        self.started: bool = previous.started if previous else False
+        self.answer_started: bool = previous.answer_started if previous else False
         self._events: EventSplitter | None = None
         if resumable:
             self._events = previous.events if previous else EventSplitter()
@@ -234,8 +234,8 @@
         head = self._head
         assert head is not None
         self._forwarding = True
-        if not self.started:
-            self.started = True
+        if not self.answer_started:
+            self.answer_started = True
             self._first_byte_at = self._loop.time()
             headers = keep_end_to_end(head.headers, _LENGTH)
             length = None if self._events is not None else head.length
--- a/src/ramppin/gateway/request/crashwatch.py
+++ b/src/ramppin/gateway/request/crashwatch.py
@@ -27,7 +27,7 @@
         self._fingerprint = fingerprint
         self._admitted = False
         self._known_end_at = float("-inf")
-        self._lost: set[str] = set()
+        self._lost_servers: set[str] = set()
 
     def may_try(self, now: float) -> bool:
         """Return whether the request may be sent to a server.
@@ -46,7 +46,7 @@
     def may_end_another(self) -> bool:
         """Return whether sending it again is likely to end one server more."""
         quarantine = self._context.quarantine
-        return quarantine.may_end_another(self._fingerprint, self._lost)
+        return quarantine.may_end_another(self._fingerprint, self._lost_servers)
 
     def is_suspect(self) -> bool:
         """Return whether servers ended, or may have, since it last ran well."""
@@ -71,7 +71,7 @@
         if result.end is AttemptEnd.DELIVERED or was_run:
             quarantine.note_served(self._fingerprint, now)
         elif result.lost and not state.leaving:
-            self._lost.add(state.id)
+            self._lost_servers.add(state.id)
             quarantine.note_lost(self._fingerprint, state.id, sent_at, now)
             if state.restarted or state.missing:
                 quarantine.note_server_ended(state.id)
--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -104,7 +104,7 @@
         try:
             if not context.first_read.is_set():
                 await self._wait_for_first_read()
-            await self._catch_up()
+            await self._wait_after_stall()
             if self._disconnected:
                 return
             admitted = self._admit()
@@ -129,7 +129,7 @@
             async with asyncio.timeout(wait_s):
                 await self._context.first_read.wait()
 
-    async def _catch_up(self) -> None:
+    async def _wait_after_stall(self) -> None:
         """Wait while this VM reads what it missed in a long stall."""
         pause_s = self._context.directory.stall_detector.measure_catch_up_s(
             self._loop.time()
@@ -277,7 +277,7 @@
         result = await attempt.run(connection, head, self._request, self._ends_at)
         if result.end is AttemptEnd.REJECTED:
             self._progress.runs -= 1
-        self._progress.answer_started = attempt.started
+        self._progress.answer_started = attempt.answer_started
         return result
 
     def _note_notice(self, state: ServerState, notice: ServerNotice) -> None:
@@ -314,7 +314,7 @@
         """Return whether another server may take over from the current one."""
         now = self._loop.time()
         if self._attempt is not None:
-            self._progress.answer_started = self._attempt.started
+            self._progress.answer_started = self._attempt.answer_started
         return judge_takeover(
             admission.route,
             self._progress,
