--- a/src/ramppin/gateway/process/routing/homesnapshot.py
+++ b/src/ramppin/gateway/process/routing/homesnapshot.py
@@ -1,11 +1,11 @@
-"""A snapshot in the shared log: homes of prefixes, and requests that are refused.
+"""Snapshots in the shared log: homes of prefixes, and requests that are quarantined.
 
-VMs keep nothing, and all of them may lose power together. One VM of the fleet
-writes what it knows every few seconds; a VM that starts reads it once. A snapshot
-is a hint like any other, so it needs no lease: if two VMs write, the last one
-counts, and what is out of date is put right by the VMs' own hints.
+VMs have no persistent storage, and all of them may lose power together. One VM of the
+fleet writes a snapshot every few seconds, and a VM that starts reads it once. A
+snapshot is only a hint, so it needs no lease: if two VMs write, the last one is used,
+and outdated content is corrected by the VMs' own hints.
 
-After a loss of all VMs prompts find the servers that have their prefixes.
+After a loss of all VMs, prompts are still sent to the servers that have their prefixes.
 """
 
 from __future__ import annotations
@@ -29,37 +29,37 @@
 
 SNAPSHOT_KEY = "homes"
 SNAPSHOT_PERIOD_S = 2.0
-"""Seconds between two snapshots, if a home has changed."""
+"""Seconds between two snapshots if a home has changed."""
 
 SUSPECT_PERIOD_S = 0.25
-"""Seconds between two snapshots, if other requests are refused than in the last one: if
-all VMs lose power before it is written, each of those ends three servers more."""
+"""Seconds between two snapshots if the quarantined requests have changed. If all VMs
+lose power before the snapshot is written, each new one crashes three more servers."""
 
 MAX_SNAPSHOT_HOMES = 5_000
-"""Homes of one snapshot; at 40 bytes each it stays below a record's limit."""
+"""Maximum number of homes in a snapshot; at 40 bytes each it fits into one record."""
 
 MAX_SNAPSHOT_SUSPECTS = 200
-"""Refused requests of one snapshot, 22 kB at 110 bytes each."""
+"""Maximum number of quarantined requests in a snapshot, 22 kB at 110 bytes each."""
 
 LOAD_TIMEOUT_S = 1.0
-"""Seconds that one read of the snapshot may take."""
+"""Time-out in seconds of one read of the snapshot."""
 
 LOAD_RETRY_S = 0.2
-"""Seconds between two tries to read the snapshot."""
+"""Seconds between two attempts to read the snapshot."""
 
 LOAD_ATTEMPTS = 10
-"""Tries to read the snapshot; after them the VM starts without one."""
+"""Attempts to read the snapshot, after which the VM starts without one."""
 
 SERVER_CHECK_S = 0.03
-"""Seconds between two checks of whether the backend servers are known."""
+"""Seconds between two checks whether the backend servers are known."""
 
 SERVER_CHECKS = 100
-"""Checks of whether the backend servers are known, 3 s in all; homes of servers that
-are not known yet are not taken."""
+"""Checks whether the backend servers are known, 3 s in all. Homes of servers that are
+still unknown then are ignored."""
 
 
 class HomeSnapshot(msgspec.Struct, array_like=True, frozen=True):
-    """What one VM knew when it wrote."""
+    """State of the VM that wrote the snapshot."""
 
     vm: str
     homes: list[HomeHint]
@@ -70,12 +70,12 @@
     """Writes and reads snapshots.
 
     Args:
-        vm: this VM's name.
+        vm: name of this VM.
         log: the table that holds the snapshot.
         members: the other VMs.
-        homes: where prefixes are.
+        homes: homes of prefixes.
         has_servers: returns whether the backend servers are known.
-        suspects: requests under which servers end.
+        suspects: gossip on requests that may crash servers.
 
     .. versionadded:: 0.2
     """
@@ -99,7 +99,7 @@
         self._written_digest = 0
 
     async def run(self) -> None:
-        """Load the snapshot, then write it in turn until cancelled."""
+        """Load the snapshot, then write snapshots when due until cancelled."""
         await self._load()
         self._written_changes = self._homes.changes
         self._written_digest = self._suspects.digest
@@ -117,7 +117,7 @@
         return asyncio.get_running_loop().time() + SNAPSHOT_PERIOD_S
 
     async def _load(self) -> None:
-        """Read the snapshot while the servers are read; take homes after them."""
+        """Read the snapshot; apply its homes once the backend servers are known."""
         value = await self._read()
         snapshot = None if value is None else decode_snapshot(value)
         if snapshot is None:
@@ -135,7 +135,9 @@
             try:
                 batch = await self._log.read_newest(timeout_s=LOAD_TIMEOUT_S)
             except LogUnavailableError as error:
-                LOG.warning("no snapshot: %s", error, extra={"step": "homes"})
+                LOG.warning(
+                    "snapshot could not be read: %s", error, extra={"step": "homes"}
+                )
                 await asyncio.sleep(LOAD_RETRY_S)
                 continue
             for record in batch.records:
@@ -147,7 +149,7 @@
     def _apply_homes(self, snapshot: HomeSnapshot) -> None:
         now = asyncio.get_running_loop().time()
         for hint in snapshot.homes:
-            # The writer's age is a lower limit; it is older by now.
+            # The age is that at the time of writing, so the home is older by now.
             age_s = hint.age_ms / 1000 + SNAPSHOT_PERIOD_S
             self._homes.apply_announcement(
                 HomeAnnouncement(hint.key, hint.server, age_s), now
@@ -172,16 +174,18 @@
         try:
             await self._log.append(SNAPSHOT_KEY, value)
         except LogUnavailableError as error:
-            LOG.warning("no snapshot written: %s", error, extra={"step": "homes"})
+            LOG.warning(
+                "snapshot could not be written: %s", error, extra={"step": "homes"}
+            )
         else:
             self._written_changes = changes
             self._written_digest = digest
 
 
 def decode_snapshot(value: bytes) -> HomeSnapshot | None:
-    """Return a snapshot, or None if it can't be read."""
+    """Return a snapshot, or None if it can't be decoded."""
     try:
         return msgspec.msgpack.decode(value, type=HomeSnapshot)
     except msgspec.MsgspecError as error:
-        LOG.warning("unreadable snapshot: %s", error, extra={"step": "homes"})
+        LOG.warning("snapshot could not be decoded: %s", error, extra={"step": "homes"})
         return None
