--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -1,9 +1,9 @@
-"""Tells other VMs what this one learnt, and takes what they tell.
+"""Exchange of hints between VMs by datagram.
 
-Told are homes of prefixes and which prefixes are hot, failures of servers, loads of
-servers, servers that leave, and requests under which servers end, in datagrams. One
-without any of these is the heartbeat by which VMs know each other live. Owns the times
-of the last messages to near and to far VMs, and how many datagrams may still be sent.
+Hints are homes of prefixes and hot prefixes, failures and loads of servers, servers
+that leave or request a back-off, and requests that may crash servers. A datagram
+without any of these is a heartbeat, by which VMs detect that their peers are alive.
+Holds the times of the last messages to near and far VMs, and the budget of datagrams.
 """
 
 from __future__ import annotations
@@ -29,40 +29,41 @@
 from ramppin.gateway.process.routing.noticegossip import NoticeGossip
 
 MIN_PERIOD_S = 0.08
-"""Seconds between two messages to all VMs."""
+"""Minimum of seconds between two periodic messages to all VMs."""
 
 DATAGRAMS_PER_S = 100
-"""Datagrams that one VM sends in the mean; with many VMs the period grows instead."""
+"""Mean rate of datagrams that one VM sends; with many VMs the period grows instead."""
 
 LOAD_DATAGRAMS_PER_S = 400
-"""Datagrams with loads that one VM may send to its failure domain, beside the others:
-with 32 VMs there a report is told within 0.08 s. What is sent is one round for each
-report at most, some 60 datagrams a second at two answers a second."""
+"""Additional rate of datagrams with loads that one VM may send to its failure domain:
+with 32 VMs there, a report is sent within 0.08 s. Each report causes one message per VM
+at most, some 60 datagrams a second at two answers a second."""
 
 MAX_BURST_DATAGRAMS = 400
-"""Datagrams that a VM may send at once: a prefix that was just placed is told at once
-while there are some left, since each VM that does not know it places it anew and reads
-it again. So is a server that is near the bound."""
+"""Datagrams that a VM may send at once. While the budget lasts, a new home is announced
+at once, since each VM without it would place the prefix again and have it processed
+again. The same holds for a server near the load bound."""
 
 HOMES_PER_DATAGRAM = 24
-"""Homes in one datagram, 684 bytes with the ids of the sites played: below the usual
-path limit, so that it is not split."""
+"""Maximum number of homes in one datagram. They take 684 bytes with the server ids of
+the simulated sites: below the usual path MTU, so that the datagram is not
+fragmented."""
 
 
 class HintExchange:
     """Sends and receives hints.
 
     Args:
-        vm: this VM's name.
-        link: carries them.
-        port: the port of every VM's link.
+        vm: name of this VM.
+        link: link that sends the datagrams.
+        port: port of every VM's link.
         members: the other VMs.
-        homes: where prefixes are.
-        servers: what VMs tell each other of servers that fail.
-        loads: what VMs tell each other of servers' loads.
-        is_log_up: returns whether the shared log serves this VM.
-        suspects: what VMs tell each other of requests under which servers end.
-        notices: what VMs tell each other of servers that leave.
+        homes: homes of prefixes.
+        servers: gossip on failures of servers.
+        loads: gossip on loads of servers.
+        is_log_up: returns whether the shared log is available to this VM.
+        suspects: gossip on requests that may crash servers.
+        notices: gossip on notices of servers.
 
     .. versionadded:: 0.2
     """
@@ -110,10 +111,10 @@
             self._link.close()
 
     async def _wait_until_due(self) -> None:
-        """Wait for the next turn, or until something happens that all must know.
+        """Wait for the shortest period, or until an urgent update is to be sent.
 
-        Each copy of a request under which a server has ended ends another before the
-        others know.
+        After a request has crashed a server, each copy of it may crash another one
+        until the other VMs are informed.
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(MIN_PERIOD_S):
@@ -121,12 +122,12 @@
         self._woken.clear()
 
     def apply(self, hints: PeerHints, host: str, now: float) -> None:
-        """Take a message of another VM.
+        """Apply a message of another VM.
 
         Args:
             hints: the message.
-            host: the address from which it came.
-            now: the loop's time.
+            host: address of the sender.
+            now: event loop time.
         """
         known = self._members.note_received(hints.vm, host, now, log_up=hints.log_up)
         if not known:
@@ -144,14 +145,14 @@
             self._servers.apply(hints.failures, domain, now)
 
     def send_due(self, now: float) -> None:
-        """Send what is due: all news and heartbeats, or loads alone."""
+        """Send what is due: all updates and heartbeats, or loads alone."""
         if self.is_due(now):
             self._send(now)
         elif self.are_loads_due(now):
             self._send_loads(now)
 
     def is_due(self, now: float) -> bool:
-        """Return whether to send now: in turn, or at once what was just placed."""
+        """Return whether to send now: the period has passed, or an update is urgent."""
         passed_s = min(
             now - self._budget_updated_at, MAX_BURST_DATAGRAMS / DATAGRAMS_PER_S
         )
@@ -170,7 +171,7 @@
         return is_urgent and self._may_broadcast()
 
     def are_loads_due(self, now: float) -> bool:
-        """Return whether to tell loads now, beside what is told in turn."""
+        """Return whether to send loads now, between the periodic messages."""
         if now < self._loads_due_at:
             return False
         near = self._members.count(near=True)
@@ -181,15 +182,15 @@
         return max(MIN_PERIOD_S, len(self._members) / DATAGRAMS_PER_S)
 
     def _may_broadcast(self) -> bool:
-        """Return whether enough datagrams are left for a message to all VMs.
+        """Return whether the datagram budget suffices for a message to all VMs.
 
-        A fleet larger than the burst is told when all of that is left: the debt is
-        paid back before the next time.
+        For a fleet larger than the budget, the full budget suffices. It becomes
+        negative then and must be refilled before the next broadcast.
         """
         return self._datagram_budget >= min(len(self._members), MAX_BURST_DATAGRAMS)
 
     def _send(self, now: float) -> None:
-        """Send what is new to all VMs, or a heartbeat to those it is due to."""
+        """Send updates to all VMs, or heartbeats to those for which one is due."""
         announcements = self._homes.collect_announcements(now, HOMES_PER_DATAGRAM)
         homes = [
             HomeHint(
@@ -231,9 +232,9 @@
             self._send_to(hints, near, now)
 
     def _send_loads(self, now: float) -> None:
-        """Tell loads to near VMs; to far ones what they must know, while it may.
+        """Send loads to near VMs, and the important ones to far VMs within the budget.
 
-        These are loads near the bound, and overdue requests.
+        Important are loads near the bound, and overdue requests.
         """
         loads = self._loads.collect(now)
         if loads.near or loads.waits:
@@ -250,7 +251,7 @@
         )
 
     def _answer_suspects(self, hints: PeerHints, host: str, now: float) -> None:
-        """Take what a VM knows of suspects, and tell it alone what it lacks."""
+        """Apply a VM's suspect requests, and send that VM alone those that it lacks."""
         outdated = self._suspects.apply(hints.suspects, now)
         messages = self._suspects.reply(host, hints.quarantine_digest, now)
         if outdated:
