--- a/src/ramppin/gateway/process/load/estimate.py
+++ b/src/ramppin/gateway/process/load/estimate.py
@@ -1,9 +1,9 @@
-"""What is known about the load of one backend server.
+"""Load estimate of one backend server.
 
-Owns the newest report of it: of an answer that this VM got, or told by another VM
-(:mod:`~.gossip`). A load is known for a moment only: what a server held then ends one
-request after the other, and others come. So a report counts less the older it is, and
-the mean of all servers takes its place. No I/O.
+Holds its newest load report, from an answer to this VM or from a peer
+(:mod:`~.gossip`). A report is exact only for a moment: the requests that the server
+held end one after the other, and others arrive. So a report has less weight the older
+it is, and the mean of all servers takes its place. No I/O.
 """
 
 from __future__ import annotations
@@ -11,22 +11,23 @@
 import math
 
 REPORT_MAX_AGE_S = 4.0
-"""Seconds after which a load report says nothing any more."""
+"""Seconds after which a load report is not used any more."""
 
 PEAK_DECAY_S = 5.0
-"""Seconds in which a peak of load fades to a third. Requests of a hot prefix come in
-bunches, as after each stall of the VMs, and the server is calm between."""
+"""Seconds in which a load peak decays to about a third (1/e). Requests of a hot prefix
+arrive in bursts, as after each stall of the VMs, with low load in between."""
 
 NEVER = float("-inf")
-"""The loop's time of what has not happened."""
+"""Event loop time of an event that has not occurred."""
 
 
 class ServerLoad:
     """The newest load report of one backend server.
 
     Attributes:
-        requests: that it held, running and waiting, the answered one included.
-        reported_at: the loop's time of the report.
+        requests: number of requests that it held, running and waiting, including the
+            answered one.
+        reported_at: event loop time of the report.
 
     .. versionadded:: 0.3
     """
@@ -40,35 +41,35 @@
         self._pending = False
 
     def note_report(self, requests: int, in_flight: int, now: float) -> None:
-        """Take the load that an answer reported.
+        """Record the load that an answer reported.
 
         Args:
-            requests: that the server held.
-            in_flight: those of them that this VM has there.
-            now: the loop's time.
+            requests: number of requests that the server held.
+            in_flight: number of requests that this VM has there.
+            now: event loop time.
         """
         self._apply(requests, in_flight, now)
         self._pending = True
 
     def apply_peer_report(self, requests: int, in_flight: int, at: float) -> None:
-        """Take a report that another VM got, unless a newer one is known.
+        """Apply a report that another VM received, unless a newer one is known.
 
         Args:
-            requests: that the server held.
-            in_flight: requests that this VM has there now.
-            at: the loop's time of the report.
+            requests: number of requests that the server held.
+            in_flight: number of requests that this VM has there now.
+            at: event loop time of the report.
         """
         if at > self.reported_at:
             self._apply(requests, in_flight, at)
             self._pending = False
 
     def pop_pending(self) -> bool:
-        """Return whether this VM got a report since the last call."""
+        """Return whether this VM received a report since the last call."""
         pending, self._pending = self._pending, False
         return pending
 
     def has_report(self, now: float) -> bool:
-        """Return whether a report is fresh enough to count."""
+        """Return whether a report is recent enough to be used."""
         return now - self.reported_at <= REPORT_MAX_AGE_S
 
     def measure_age(self, now: float) -> float:
@@ -78,13 +79,13 @@
     def estimate(
         self, in_flight: int, now: float, *, mean: float, lifetime_s: float
     ) -> float:
-        """Return how many requests the server is likely to hold.
+        """Return the estimated number of requests that the server holds.
 
         Args:
-            in_flight: requests of this VM that it has.
-            now: the loop's time.
+            in_flight: number of requests of this VM that it holds.
+            now: event loop time.
             mean: mean load of the service's servers.
-            lifetime_s: how long a request stays at a server, in the mean.
+            lifetime_s: mean time for which a request stays at a server.
         """
         if not self.has_report(now):
             return float(in_flight)
@@ -93,7 +94,7 @@
         return max(in_flight, mean + (self.requests - mean) * left + since)
 
     def find_peak(self, now: float) -> float:
-        """Return the highest load of late, in requests, the less the longer ago."""
+        """Return the recent peak load in requests, which decays over time."""
         age_s = max(0.0, now - self._peak_at)
         return self._peak * math.exp(-age_s / PEAK_DECAY_S)
 
