--- a/src/ramppin/gateway/process/load/gossip.py
+++ b/src/ramppin/gateway/process/load/gossip.py
@@ -1,13 +1,13 @@
-"""What VMs tell each other of the load of backend servers.
-
-A VM among many meets each server once in a minute or so, and by its own sight alone it
-chooses blind: many VMs that each send a little overrun the home of a prefix that is
-hot, or that has just moved. So each VM tells the load reports that its answers brought.
-All of them go to the VMs of its own failure domain, where bytes cost nothing: together
-these meet each server some times a second. Reports near the bound go to all VMs, for
-the servers that others must know of now. A server that goes silent reports nothing, so
-each VM also tells all others how many of its requests are overdue there. What was told
-is never told on. No I/O.
+"""Gossip among VMs about the load of backend servers.
+
+One VM of a large fleet uses each server once in a minute or so, too rarely to choose by
+its own reports alone: many VMs that each send a few requests overload the home of a
+prefix that is hot, or that has just moved. So each VM sends the load reports of its
+answers to peers. All reports go to the VMs of its own failure domain, where traffic is
+free: together these get reports of each server several times a second. Reports near the
+load bound go to all VMs, which must avoid these servers at once. A server that stops
+responding sends no reports, so each VM also sends all others the number of its requests
+that are overdue there. Reports by peers are not forwarded. No I/O.
 """
 
 from __future__ import annotations
@@ -22,28 +22,29 @@
 from ramppin.gateway.process.routing.serverstate import ServerState
 
 BROADCAST_SHARE = 0.8
-"""Part of the bound from which on a report is told to all VMs: below it a server takes
-what comes, above it a few more requests put it past the bound. A lower part costs bytes
-between failure domains, and overruns no fewer servers."""
+"""Share of the load bound from which a report is sent to all VMs. Below it a server has
+room for requests; above it a few more exceed the bound. A lower share causes traffic
+between failure domains, and overloads no fewer servers."""
 
 SERVERS_PER_MESSAGE = 24
-"""Servers in one message, 500 bytes: with the rest it is not split."""
+"""Maximum number of servers in one message. They take 500 bytes, so that the message is
+not fragmented with the rest of its content."""
 
 WAITS_REPEAT_S = 0.2
-"""Seconds after which overdue requests are told again though their number is the same:
-two messages within the time for which they count."""
+"""Seconds after which unchanged numbers of overdue requests are sent again: two
+messages within the time for which peers use them."""
 
 MS_PER_S = 1000
-"""Milliseconds of a second: hints carry ages in milliseconds, the rules use seconds."""
+"""Milliseconds per second: hints carry ages in milliseconds, the rules use seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadUpdates:
-    """Reports to tell.
+    """Load reports to send.
 
     Attributes:
-        near: for the VMs of the own failure domain.
-        far: those of them for all others as well.
+        near: reports for the VMs of the same failure domain.
+        far: those of them that are sent to all other VMs as well.
         waits: overdue requests, for all VMs.
     """
 
@@ -53,7 +54,7 @@
 
 
 class LoadGossip:
-    """Collects the load reports and waits to tell, and takes those that others tell.
+    """Collects load reports and overdue requests to send, and applies those of peers.
 
     Args:
         directory: the backend servers.
@@ -67,7 +68,7 @@
         self._waits_sent_at = NEVER
 
     def collect(self, now: float) -> LoadUpdates:
-        """Return what is news since the last call: own answers' reports, and waits."""
+        """Return this VM's reports since the last call, and its overdue requests."""
         fresh = [state for state in self._directory if state.load.pop_pending()]
         fresh.sort(key=lambda state: -state.load.requests)
         near = [_describe(state, now) for state in fresh[:SERVERS_PER_MESSAGE]]
@@ -80,7 +81,7 @@
         return LoadUpdates(near, far, self._collect_waits(now))
 
     def apply(self, hints: PeerHints, now: float) -> None:
-        """Take what another VM tells of loads."""
+        """Apply the loads and overdue requests in a message of another VM."""
         self.apply_loads(hints.loads, now)
         for hint in hints.waits:
             state = self._directory.find(hint.server)
@@ -88,7 +89,7 @@
                 state.waiting.apply_peer_count(hints.vm, hint.count, now)
 
     def apply_loads(self, hints: Sequence[LoadHint], now: float) -> None:
-        """Take the reports that another VM got."""
+        """Apply the load reports that another VM received."""
         for hint in hints:
             state = self._directory.find(hint.server)
             if state is not None and 0 <= hint.age_ms <= REPORT_MAX_AGE_S * MS_PER_S:
@@ -96,10 +97,10 @@
                 state.load.apply_peer_report(hint.requests, state.in_flight, at)
 
     def _collect_waits(self, now: float) -> list[WaitHint]:
-        """Return the overdue requests by server, if that is news or must be repeated.
+        """Return the overdue requests by server, if they changed or must be repeated.
 
-        A server at which none is overdue any more is told once. Nothing is told while
-        this process is behind: what it has not read yet is not overdue.
+        A server without overdue requests any more is sent once, with zero. Nothing is
+        sent while the event loop is behind: bytes may have arrived that are not read.
         """
         if self._directory.stall_detector.is_behind(now):
             return []
