--- a/src/ramppin/gateway/process/load/times.py
+++ b/src/ramppin/gateway/process/load/times.py
@@ -1,35 +1,36 @@
-"""How long requests of a service stay at a backend server, and wait for its answer.
+"""Times for which requests of a service stay at a backend server and wait for a byte.
 
-Owns moving means of the requests that this VM had answered. The rules on load use the
-stay as the time in which a load report loses its worth, and the wait to tell a request
-that a server keeps waiting from one that it works on. No I/O.
+Holds moving means over the answered requests of this VM. The load rules use the stay as
+the time constant with which a load report loses weight, and the wait to distinguish
+overdue requests from those that the server is processing. No I/O.
 """
 
 from __future__ import annotations
 
 INITIAL_STAY_S = 1.0
-"""Seconds that are taken before any answer: the order of a short chat's answer."""
+"""Initial mean stay in seconds, in the order of the answer to a short chat."""
 
 INITIAL_WAIT_S = 0.1
-"""Seconds for a first byte that are taken before any answer: the order of a prompt that
-must be read; a plain server takes a quarter of it."""
+"""Initial mean wait for a first byte in seconds, in the order of a prompt that must be
+processed; a plain server takes a quarter of it."""
 
 MAX_SAMPLE_WEIGHT = 10
-"""Requests of a VM that decide a mean; the newest counts as one of so many."""
+"""Number of samples that determine a mean; its reciprocal is the newest one's weight."""
 
 MIN_MEAN_S = 0.02
-"""Seconds below which a mean is not taken: what VMs tell is no better known in time."""
+"""Minimum of a mean in seconds: reports by peers are no more precise in time."""
 
 
 class MovingMean:
-    """The mean of a time, the newest ones counting most.
+    """Moving mean of durations, with the highest weight on the newest ones.
 
     Args:
-        initial_s: what is taken before any.
-        initial_weight: times that this counts as; at most as many as decide later.
+        initial_s: the mean before the first sample, in seconds.
+        initial_weight: number of samples that this counts as, at most
+            :data:`MAX_SAMPLE_WEIGHT`.
 
     Attributes:
-        mean_s: in seconds.
+        mean_s: the mean in seconds.
 
     .. versionadded:: 0.3
     """
@@ -41,7 +42,7 @@
         self._weight = initial_weight
 
     def note(self, duration_s: float) -> None:
-        """Take one time, in seconds."""
+        """Add one sample, in seconds."""
         mean_s = self.mean_s + (duration_s - self.mean_s) / self._weight
         self.mean_s = max(MIN_MEAN_S, mean_s)
         self._weight = min(MAX_SAMPLE_WEIGHT, self._weight + 1)
@@ -51,8 +52,8 @@
     """Times of one service's requests.
 
     Attributes:
-        stay: from the choice of a server until its answer was whole.
-        wait: from sending until the first byte of the answer.
+        stay: time from the choice of a server until its answer was complete.
+        wait: time from sending until the first byte of the answer.
 
     .. versionadded:: 0.3
     """
