--- a/src/ramppin/gateway/process/load/view.py
+++ b/src/ramppin/gateway/process/load/view.py
@@ -1,6 +1,6 @@
 """Loads of a service's backend servers at one moment, and the bound on them.
 
-Reads what is known of each server (:mod:`~.estimate`); owns nothing. No I/O.
+Uses the load estimate of each server (:mod:`~.estimate`); holds no state. No I/O.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 from ramppin.gateway.process.routing.serverstate import ServerState
 
 BOUND_RATIO = 1.5
-"""Multiple of the mean load of a service's servers that one of them may hold. Callers
-of a home at the bound go elsewhere, where their prefix must be copied or read; a server
-past it slows all that it runs. A lower bound overruns fewer servers and moves more
-memory."""
+"""Multiple of the mean load of a service's servers that one of them may hold. Prompts
+of a home at the bound are sent to other servers, which must copy or process the prefix;
+a server above the bound slows down all its requests. A lower bound overloads fewer
+servers and moves more memory."""
 
 BOUND_SLACK = 1.5
-"""Requests that a server may hold beyond that; see :data:`BOUND_RATIO`."""
+"""Requests that a server may hold in addition; see :data:`BOUND_RATIO`."""
 
 MIN_REPORTS = 3
-"""Servers with a load report from which on they stand for all: a single one may be the
-busiest."""
+"""Minimum number of servers with a load report from which the mean is estimated. A
+single one may be the busiest."""
 
 REPORT_EXCESS = 1.0
-"""Requests by which a report is above what its server holds at other moments: the one
+"""Requests by which a report exceeds the load at other moments: it includes the request
 that was answered."""
 
 BISECTION_STEPS = 20
-"""Halvings of the interval in which :func:`weigh_mean` looks: to a millionth of it."""
+"""Steps of the bisection in :func:`weigh_mean`: to a millionth of the interval."""
 
 
 @dataclass(slots=True)
@@ -38,9 +38,9 @@
     """Loads of a service's open servers at one moment, in requests.
 
     Attributes:
-        loads: what each is likely to hold, by id.
-        mean: of all servers.
-        bound: the load that a server must stay below to get more.
+        loads: estimated load of each server, by id.
+        mean: mean load of all servers.
+        bound: load that a server must stay below to get more requests.
     """
 
     loads: dict[str, float] = field(default_factory=dict)
@@ -55,11 +55,11 @@
     ratio: float = BOUND_RATIO,
     slack: float = BOUND_SLACK,
 ) -> LoadView:
-    """Return the likely loads of servers, their mean and the bound.
+    """Return the estimated loads of servers, their mean and the bound.
 
     Args:
         states: the open servers of a service.
-        now: the loop's time.
+        now: event loop time.
         ratio: see :data:`BOUND_RATIO`.
         slack: see :data:`BOUND_SLACK`.
     """
@@ -71,10 +71,10 @@
 def estimate_mean(states: Sequence[ServerState], now: float) -> float:
     """Return the mean load of servers.
 
-    Where many VMs share the servers, a VM knows reports of a few and sees its own
-    requests alone at the rest: the mean over all would be far too low, and each server
-    that has just reported would look overloaded. So the servers with a report stand
-    for the others.
+    If many VMs share the servers, a VM has recent reports of a few servers only, and
+    knows just its own requests at the rest. The mean over all would be far too low, and
+    each server with a new report would appear overloaded. So the mean is estimated from
+    the servers with a report.
     """
     reported = [
         max(1, state.find_known_load(now))
@@ -89,23 +89,23 @@
 
 
 def weigh_mean(loads: Sequence[int], servers: int) -> float:
-    """Return the mean load of servers of which some were seen.
+    """Return the mean load of servers of which only some were observed.
 
-    A server is met the more often the more it holds, so those that were seen hold more
-    than the others. One with load x counts as seen with probability 1 - exp(-k x), and
-    each that was seen stands for as many as one over that (D. G. Horvitz and D. J.
-    Thompson, "A generalization of sampling without replacement from a finite
-    universe", Journal of the American Statistical Association 47, 1952); k is chosen
-    so that they stand for all servers. With every server seen this is the arithmetic
-    mean, with few the harmonic one.
+    A server is observed more often the higher its load, so the observed ones have more
+    load than the others. A server with load x is observed with probability 1 - exp(-k
+    x), and each observed one is weighted with the reciprocal of that probability (D. G.
+    Horvitz and D. J. Thompson, "A generalization of sampling without replacement from a
+    finite universe", Journal of the American Statistical Association 47, 1952); k is
+    chosen so that the weights add up to the number of servers. If all servers were
+    observed, this is the arithmetic mean; for few it approaches the harmonic one.
 
     Args:
-        loads: of the servers that were seen, each at least 1.
-        servers: how many there are.
+        loads: loads of the observed servers, each at least 1.
+        servers: number of all servers.
     """
     if len(loads) >= servers:
         return sum(loads) / len(loads)
-    # Loads are few small numbers: 910 servers have some twenty.
+    # Loads are small integers: 910 servers have some twenty distinct values.
     counts = Counter(loads)
     low, high = 0.0, 1.0
     while _estimate_servers(counts, high) > servers:
@@ -124,7 +124,7 @@
 
 
 def _estimate_servers(counts: Counter[int], rate: float) -> float:
-    """Return for how many servers those that were seen stand."""
+    """Return the sum of the weights of the observed servers."""
     return sum(
         count / _compute_observation_probability(load, rate)
         for load, count in counts.items()
@@ -132,5 +132,5 @@
 
 
 def _compute_observation_probability(load: int, rate: float) -> float:
-    """Return the chance that a server with a load was seen."""
+    """Return the probability that a server with this load was observed."""
     return -math.expm1(-rate * load)
