--- a/src/ramppin/gateway/process/load/waiting.py
+++ b/src/ramppin/gateway/process/load/waiting.py
@@ -14,30 +14,30 @@
 from ramppin.gateway.process.stalldetector import StallDetector
 
 OVERDUE_RATIO = 3.0
-"""Multiple of the usual wait for a first byte after which a request is overdue: of
-waits that vary as much as their mean one in twenty is that long. Later bytes come
+"""Multiple of the mean wait for a first byte after which a request is overdue. If the
+standard deviation equals the mean, one wait in twenty is that long; later bytes arrive
 sooner."""
 
 PEER_COUNT_TTL_S = 0.5
-"""Seconds for which a VM's word counts: it repeats it each 0.2 s while it holds, so
-one message may be lost, and a VM that is gone is soon forgotten."""
+"""Seconds for which the count of a peer is used. A peer repeats it every 0.2 s, so that
+one message may be lost, and the counts of a VM that has stopped expire soon."""
 
 ABANDONED_HELD_S = 1.0
-"""Seconds for which an overdue request that this VM gave up still counts as held,
-unless the server answers another before: one that is silent does not see it end, and
-would fill up with what is given up."""
+"""Seconds for which an overdue request that this VM gave up counts as held, unless
+bytes arrive from the server before. A server that does not respond does not detect the
+end of the request, and would fill up with abandoned requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerCount:
-    """How many overdue requests another VM has at the server, and when it said so."""
+    """Overdue requests of another VM at the server, and when the count arrived."""
 
     count: int
     at: float
 
 
 class WaitingRequests:
-    """The requests that one backend server keeps waiting, of this VM and of others.
+    """Requests that wait for one backend server, of this VM and of its peers.
 
     Args:
         stall_detector: of this process; None where it never stalls.
@@ -52,36 +52,36 @@
         self._peer_counts: dict[str, PeerCount] = {}
 
     def note_sent(self, request: object, now: float) -> None:
-        """Note that a request of this VM was sent, or is read on after a pause."""
+        """Record that a request was sent, or that reading its answer was resumed."""
         self._since[request] = now
 
     def note_bytes(self, request: object, now: float) -> None:
-        """Note bytes for a request of this VM: the server is not silent."""
+        """Record that bytes arrived for a request of this VM: the server responds."""
         self._abandoned_at.clear()
         if request in self._since:
             self._since[request] = now
 
     def note_paused(self, request: object) -> None:
-        """Note that a request's answer is not read: it waits for its caller."""
+        """Record that reading an answer is paused since its caller does not read it."""
         self._since.pop(request, None)
 
     def note_ended(self, request: object, now: float, usual_s: float) -> None:
-        """Note that a request has ended, answered or not.
+        """Record that a request has ended, answered or not.
 
         Args:
-            request: that was sent.
-            now: the loop's time.
-            usual_s: the usual wait for a first byte.
+            request: the request.
+            now: event loop time.
+            usual_s: mean wait for a first byte.
         """
         since = self._since.pop(request, None)
         if self._stall_detector.is_behind(now):
-            # Its bytes may be there, not read yet: no word of the server's.
+            # Its bytes may have arrived unread, so it may not have been overdue.
             return
         if since is not None and now - since > OVERDUE_RATIO * usual_s:
             self._abandoned_at.append(now)
 
     def count_abandoned(self, now: float) -> int:
-        """Return how many given-up requests of this VM it is likely to hold still."""
+        """Return how many requests that this VM gave up the server may still hold."""
         if not self._abandoned_at:
             return 0
         oldest = now - ABANDONED_HELD_S
@@ -89,25 +89,25 @@
         return len(self._abandoned_at)
 
     def count_overdue(self, now: float, usual_s: float) -> int:
-        """Return how many requests of this VM wait longer than is usual, or did.
+        """Return how many requests of this VM are overdue, or were when given up.
 
         Args:
-            now: the loop's time.
-            usual_s: the usual wait for a first byte.
+            now: event loop time.
+            usual_s: mean wait for a first byte.
         """
         latest = now - OVERDUE_RATIO * usual_s
         waiting = sum(since < latest for since in self._since.values())
         return waiting + self.count_abandoned(now)
 
     def apply_peer_count(self, vm: str, count: int, now: float) -> None:
-        """Take how many overdue requests another VM has here."""
+        """Apply the number of overdue requests that another VM reported."""
         if count:
             self._peer_counts[vm] = PeerCount(count, now)
         else:
             self._peer_counts.pop(vm, None)
 
     def count_peer_overdue(self, now: float) -> int:
-        """Return how many overdue requests other VMs have here."""
+        """Return how many overdue requests other VMs have at the server."""
         if not self._peer_counts:
             return 0
         self._peer_counts = {
