--- a/src/ramppin/gateway/process/load/times.py
+++ b/src/ramppin/gateway/process/load/times.py
@@ -15,7 +15,7 @@
 processed; a plain server takes a quarter of it."""
 
 MAX_SAMPLE_WEIGHT = 10
-"""Number of samples that determine a mean; its reciprocal is the newest one's weight."""
+"""Number of samples that determine a mean: the newest one counts as one of them."""
 
 MIN_MEAN_S = 0.02
 """Minimum of a mean in seconds: reports by peers are no more precise in time."""
