--- a/features/gateway_lines.py
+++ b/features/gateway_lines.py
@@ -147,7 +147,7 @@
         await self._wait_for_event("server_gone")
         gateway.reload(gateway.config)
         await self._wait_for_event("reloaded")
-        gateway._note_turn(STALL_S, asyncio.get_running_loop().time())
+        gateway._note_tick(STALL_S, asyncio.get_running_loop().time())
         await self._wait_for_event("stalled")
         gateway.start_drain()
         await self._wait_for_event("draining")
