--- a/src/ramppin/gateway/connection/__init__.py
+++ b/src/ramppin/gateway/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a connection: callers, backend servers, datagrams, calls to peers."""
+"""Connections to callers and backend servers, datagrams, and calls to peers."""
--- a/src/ramppin/gateway/connection/callerwire.py
+++ b/src/ramppin/gateway/connection/callerwire.py
@@ -1,10 +1,10 @@
-"""Connections of callers: requests in, answers out, one at a time.
+"""Server side of HTTP/1.1 connections from callers, one request at a time.
 
-Owns each connection's transport, its request in flight and those that wait behind
-it; what answers them is a :class:`Responder`. Built on asyncio's protocols and
-httptools' parser, which uvicorn uses as well: an application interface in between
-costs processor time for every event of a stream that these small VMs don't have
-(docs/PLATFORM.md has the figures).
+Owns each connection's transport, its request in flight and its queue of pipelined
+requests; a :class:`Responder` produces the answers. Built directly on asyncio
+protocols and the httptools parser, which uvicorn uses as well: an application
+interface in between would cost CPU time for every event of a stream, which these
+small VMs can't spare (docs/PLATFORM.md has the figures).
 """
 
 from __future__ import annotations
@@ -31,35 +31,35 @@
 from ramppin.gateway.version.routing import CallerLimits
 
 MAX_QUEUED = 2
-"""Requests of one connection that wait behind the one in flight; reading pauses
-then."""
+"""Pipelined requests of one connection that may queue; at this number the connection
+stops reading."""
 
 
 class Responder(ABC):
-    """Takes requests and disconnects of callers; one for each connection."""
+    """Handles the requests and the disconnect of one connection."""
 
     @abstractmethod
     def accept_request(self, request: CallerRequest) -> None:
-        """Take a whole request; it is answered through the connection."""
+        """Handle a complete request; the answer is sent on the connection."""
 
     @abstractmethod
     def accept_disconnect(self) -> None:
-        """Take the caller's close or reset, with a request in flight."""
+        """Handle the caller's close or reset while a request is in flight."""
 
     @abstractmethod
     def accept_backpressure(self, *, paused: bool) -> None:
-        """Pause while the caller reads too slowly; go on when it reads again."""
+        """Pause while the write buffer is full; resume once it has drained."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A request that was refused before it was read whole.
+    """A request that was refused before it was read completely.
 
     Attributes:
-        status: the answer's status.
-        reason: which rule it broke.
-        target: as far as it was read.
-        headers: those that were read.
+        status: HTTP status of the answer.
+        reason: the rule or limit that was violated.
+        target: the part of the request target that was read.
+        headers: the headers that were read.
     """
 
     status: int
@@ -70,13 +70,13 @@
 
 @dataclass(slots=True)
 class ListenerState:
-    """What the connections of one listener share.
+    """State shared by the connections of one listener.
 
     Attributes:
         limits: limits in force.
-        draining: whether answers ask callers to close.
-        note_refused: called with each request that is refused unread.
-        connections: those that are open.
+        draining: whether answers carry ``Connection: close``.
+        note_refused: called with each request refused before it was read completely.
+        connections: open connections.
     """
 
     limits: CallerLimits = field(default_factory=CallerLimits)
@@ -86,11 +86,11 @@
 
 
 class CallerConnection(asyncio.Protocol, RequestHandler):
-    """One connection of a caller.
+    """One connection from a caller.
 
     Args:
         state: shared by the listener's connections.
-        build_responder: called with the connection, returns its responder.
+        build_responder: returns the responder for a connection.
 
     .. versionadded:: 0.2
     """
@@ -117,13 +117,13 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no request is in flight, waiting or half received."""
+        """Whether no request is in flight, queued or partially received."""
         return not (self._current or self._queue or self._reader.incoming)
 
-    # asyncio's side
+    # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to be idle."""
+        """Register the connection and start its idle time-out."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         set_tcp_timeouts(transport, CALLER_TIMEOUTS)
@@ -131,7 +131,7 @@
         self._begin_idle()
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of requests."""
+        """Feed received bytes to the parser."""
         if self.closed:
             return
         if self.idle_until is not None:
@@ -148,7 +148,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Pass on that the caller is gone."""
+        """Discard the queue and notify the responder of a request in flight."""
         self.closed = True
         self._state.connections.discard(self)
         self._queue.clear()
@@ -156,23 +156,23 @@
             self._responder.accept_disconnect()
 
     def pause_writing(self) -> None:
-        """Pass on that the caller reads too slowly."""
+        """Pause the responder: the write buffer is full."""
         self._responder.accept_backpressure(paused=True)
 
     def resume_writing(self) -> None:
-        """Pass on that the caller reads again."""
+        """Resume the responder: the write buffer has drained."""
         self._responder.accept_backpressure(paused=False)
 
-    # the reader's side
+    # RequestHandler
 
     def accept_head(self, request: CallerRequest) -> None:
-        """Let the caller send the body."""
+        """Answer ``Expect`` with 100 Continue so that the caller sends the body."""
         self.head_due = None
         if request.find(b"expect") is not None and self._transport is not None:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def accept_complete(self, request: CallerRequest) -> None:
-        """Begin a request, or let it wait for the one in flight."""
+        """Start a request, or queue it behind the one in flight."""
         request.arrived = self._loop.time()
         self._queue.append(request)
         if self._current is None:
@@ -180,12 +180,13 @@
         elif len(self._queue) >= MAX_QUEUED and self._transport is not None:
             self._transport.pause_reading()
 
-    # the responder's side
+    # called by the responder
 
     def send_answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer and go on to the next request.
+        """Send a complete answer and start the next request.
 
-        In the middle of another answer it would be garbage: that one is cut.
+        If another answer has been started, aborts the connection instead: bytes
+        written now would become part of that answer's body.
         """
         request = self._current
         if request is None or self.closed or self._transport is None:
@@ -200,7 +201,7 @@
         self._finish(request)
 
     def start_stream(self, status: int, headers: Headers, length: int | None) -> None:
-        """Send the head of an answer whose body follows in pieces."""
+        """Send the head of an answer whose body follows in parts."""
         request = self._current
         if request is None or self.closed or self._transport is None:
             return
@@ -217,13 +218,13 @@
         self._transport.write(encode_answer(status, sent))
 
     def send_body(self, data: bytes) -> None:
-        """Send a piece of a body."""
+        """Send part of a body."""
         if self.closed or self._transport is None or not data:
             return
         self._transport.write(encode_chunk(data) if self._chunked else data)
 
     def end_stream(self) -> None:
-        """End a whole answer."""
+        """End the answer and start the next request."""
         request = self._current
         if request is None or self.closed or self._transport is None:
             return
@@ -232,20 +233,20 @@
         self._finish(request)
 
     def abort(self) -> None:
-        """Close without the end of the answer, so that it can't look whole."""
+        """Reset the connection, so that a truncated answer can't look complete."""
         self.closed = True
         self._current = None
         if self._transport is not None:
             self._transport.abort()
 
     def close_if_idle(self) -> None:
-        """Close a connection that carries nothing."""
+        """Close the connection if it is idle."""
         if self.idle and self._transport is not None:
             self.closed = True
             self._transport.close()
 
     def check_timeouts(self, now: float) -> None:
-        """Close a connection that was idle too long; refuse a request too slow."""
+        """Close an expired idle connection; refuse a request that is too slow."""
         limits = self._state.limits
         if self.idle_until is not None and now >= self.idle_until:
             self.close_if_idle()
@@ -257,12 +258,12 @@
 
     @property
     def _awaits_body(self) -> bool:
-        """Whether a request's body is due, and no answer would be cut with it."""
+        """Whether a body is due and no other request is in flight or queued."""
         if self._current or self._queue or self._reader.incoming is None:
             return False
         return not self._reader.reads_head
 
-    # inside
+    # internal
 
     def _expect_head(self) -> None:
         if self.head_due is None:
@@ -303,7 +304,7 @@
             self._expect_head()
 
     def _refuse(self, status: int, reason: str) -> None:
-        """Answer a request that can't be read, and close."""
+        """Refuse a request that can't be read, and close the connection."""
         if self._transport is None or self.closed:
             return
         if self._current is None:
--- a/src/ramppin/gateway/connection/fetch.py
+++ b/src/ramppin/gateway/connection/fetch.py
@@ -1,7 +1,7 @@
-"""Small calls over HTTP to one peer, one at a time on a kept connection.
+"""Minimal HTTP client for one peer, one call at a time on a persistent connection.
 
-Used for the shared log and for other VMs. In place of aiohttp's client: its import
-costs memory and a longer start on the smallest VMs (docs/PLATFORM.md).
+Used for the shared log and for other VMs. It replaces aiohttp's client, whose import
+costs memory and start-up time on the smallest VMs (docs/PLATFORM.md).
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 )
 
 CONNECT_TIMEOUT_S = 0.6
-"""Seconds for a connection to come up."""
+"""Seconds within which a connection must be established."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchedAnswer:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     body: bytes
 
 
 class Fetcher:
-    """Sends calls to one peer.
+    """Sends HTTP calls to one peer.
 
     Args:
         host: its IP address.
         port: its port.
-        peer: its name, for errors.
+        peer: its name, for error messages.
 
     .. versionadded:: 0.2
     """
@@ -51,7 +51,7 @@
         """Return the answer to a GET.
 
         Raises:
-            LogUnavailableError: there was no whole answer in time.
+            LogUnavailableError: no complete answer arrived in time.
         """
         return await self._call(b"GET", target, b"", timeout_s)
 
@@ -61,8 +61,8 @@
         """Return the answer to a POST.
 
         Raises:
-            LogUnavailableError: there was no whole answer in time; the call may
-                have been done.
+            LogUnavailableError: no complete answer arrived in time; the peer may
+                have processed the call.
         """
         return await self._call(b"POST", target, body, timeout_s)
 
@@ -107,7 +107,7 @@
 
 
 class _BufferingReceiver(AnswerReceiver):
-    """Collects an answer until it is whole."""
+    """Buffers an answer until it is complete."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
--- a/src/ramppin/gateway/connection/httpwire.py
+++ b/src/ramppin/gateway/connection/httpwire.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 heads: which headers travel on, and how heads are written.
+"""HTTP/1.1 message heads: encoding, and selection of the headers to forward.
 
-Header names are bytes in lower case; a head keeps its headers in the order and
-spelling in which they came.
+Names to compare with are bytes in lower case; the headers of a head keep the order and
+spelling in which they were received.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
         b"upgrade",
     }
 )
-"""Headers that concern one connection only (RFC 9110, section 7.6.1)."""
+"""Headers that apply to one connection only (RFC 9110, section 7.6.1)."""
 
 _REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
@@ -36,30 +36,29 @@
 
     Attributes:
         request_id: identifies one attempt of a caller.
-        deadline_ms: milliseconds that the caller will wait.
-        api_key: the caller's key; never passed on.
+        deadline_ms: milliseconds that the caller waits for an answer.
+        api_key: the caller's key; never forwarded.
         customer: the customer that owns the key; set by ramppin.
-        server: the backend server that alone may run the request.
-        not_run: marks an answer of a backend server that did not run it.
-        signature: proves that an answer is a backend server's own.
-        load: a backend server's requests running, waiting, and slots.
-        leaving: ``1`` in answers of a backend server that takes nothing new.
+        server: the only backend server that may run the request.
+        not_run: set by a backend server that did not run the request.
+        signature: proves that an answer comes from a backend server.
+        load: a backend server's running requests, waiting requests and slots.
+        leaving: ``1`` in answers of a backend server that accepts no new requests.
         prompt_parts: the parts of a prompt, ``ID:TOKENS`` joined by commas.
         priority: queueing priority, 0 (first) to 9.
-        last_event_id: where a stream is to be continued.
+        last_event_id: the event after which a stream is to be resumed.
         copy_from: the backend server from which to copy a cached prefix.
-        model: the model that the caller wants.
-        request_size: tokens of the prompt, and most tokens out.
-        reservation: a slot and memory that are set aside for the request.
-        pin_ms: how long its memory stays with the server, in milliseconds.
-        backup_to: the backend server to which its memory is copied as it grows.
-        resume_from: a copy of a run's memory from which the request goes on.
-        weights_version: the version of the weights that alone may serve it.
-        never_from_caller: those that only ramppin sets for a server. A caller that
-            set them would give itself a server's memory and a place in the queue; an
-            order that no server knows is refused by each in turn.
-        always_from_caller: those that reach the server even if ``Connection`` lists
-            them.
+        model: the requested model.
+        request_size: tokens of the prompt, and the maximum of output tokens.
+        reservation: a slot and memory reserved for the request.
+        pin_ms: how long the server retains the request's memory, in milliseconds.
+        backup_to: the backend server to which that memory is copied as it grows.
+        resume_from: a copy of a run's memory from which the request is resumed.
+        weights_version: the only version of the weights that may serve it.
+        never_from_caller: headers that only ramppin may send to a server. A caller
+            could use them to claim a server's memory or a place in its queue; an
+            instruction that no server recognizes is refused by each in turn.
+        always_from_caller: headers forwarded even if ``Connection`` lists them.
 
     .. versionadded:: 0.2
     """
@@ -89,7 +88,7 @@
     always_from_caller: frozenset[bytes] = field(init=False)
 
     def __post_init__(self) -> None:
-        """Fill the two lists."""
+        """Derive the two sets from the names."""
         never = {
             self.api_key,
             self.customer,
@@ -125,11 +124,11 @@
 def keep_end_to_end(
     headers: Headers, drop: frozenset[bytes], keep: frozenset[bytes] = frozenset()
 ) -> Headers:
-    """Return the headers that travel on.
+    """Return the headers to forward.
 
     Args:
         headers: as received.
-        drop: further names to leave out, in lower case.
+        drop: further names to remove, in lower case.
         keep: names that ``Connection`` can't remove, in lower case.
     """
     named = _list_connection_options(headers) - keep
@@ -138,7 +137,7 @@
 
 
 def _list_connection_options(headers: Headers) -> frozenset[bytes]:
-    """Return what all ``Connection`` headers list, in lower case."""
+    """Return the names listed in all ``Connection`` headers, in lower case."""
     listed = [value for name, value in headers if name.lower() == b"connection"]
     if not listed:
         return frozenset()
--- a/src/ramppin/gateway/connection/pool.py
+++ b/src/ramppin/gateway/connection/pool.py
@@ -1,7 +1,7 @@
-"""Kept connections to backend servers.
+"""Pool of persistent connections to backend servers.
 
-Owns the idle connections of the process, by backend server. Whether one is used
-again is decided in :mod:`~.reuse`.
+Owns the process's idle connections, by backend server. The rules for reusing them are
+in :mod:`~.reuse`.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from ramppin.gateway.connection.upstream import UpstreamConnection, open_connection
 
 CONNECT_TIMEOUT_S = 0.35
-"""Seconds for a new connection to come up; the request then tries another server."""
+"""Seconds to establish a connection; then the request tries another server."""
 
 
 class ConnectionPool:
-    """Keeps connections to backend servers for a while.
+    """Keeps idle connections to backend servers for reuse.
 
     Attributes:
-        opened: connections opened since the start.
+        opened: connections opened since the process started, failed ones included.
 
     .. versionadded:: 0.2
     """
@@ -35,7 +35,7 @@
     async def acquire(
         self, peer: str, host: str, port: int, *, repeatable: bool
     ) -> UpstreamConnection:
-        """Return a kept connection, or a new one.
+        """Return an idle connection, or open a new one.
 
         Args:
             peer: the backend server's id.
@@ -44,7 +44,7 @@
             repeatable: whether the request may be sent again if it fails.
 
         Raises:
-            NotSentError: a new connection did not come up.
+            NotSentError: no connection could be established.
         """
         now = asyncio.get_running_loop().time()
         limit_s = choose_idle_limit_s(repeatable=repeatable)
@@ -57,7 +57,7 @@
         return await self.open(peer, host, port)
 
     async def open(self, peer: str, host: str, port: int) -> UpstreamConnection:
-        """Return a new connection.
+        """Open a new connection.
 
         Args:
             peer: the backend server's id.
@@ -65,19 +65,19 @@
             port: its port.
 
         Raises:
-            NotSentError: it did not come up.
+            NotSentError: the connection could not be established.
         """
         self.opened += 1
         return await open_connection(host, port, peer, timeout_s=CONNECT_TIMEOUT_S)
 
     def note_timed_out(self, connection: UpstreamConnection) -> int:
-        """Close what rests to the peer of a connection that went silent.
+        """Close the idle connections to the peer of a connection that timed out.
 
-        What took one connection to a peer took most likely those that rested beside
-        it: they would each cost a request a second.
+        What broke one connection to a peer most likely broke the idle ones too. Each
+        would cost a request a second before it is detected.
 
         Returns:
-            How many were closed.
+            The number of connections closed.
         """
         idle = self._idle.pop(connection.peer, [])
         for other in idle:
@@ -87,12 +87,12 @@
     def release(
         self, connection: UpstreamConnection, *, spare_connections: int | None = None
     ) -> None:
-        """Keep a connection whose answer was whole.
+        """Return a connection to the pool after a complete answer.
 
         Args:
             connection: the connection.
-            spare_connections: idle ones that this VM may keep to the same server;
-                None for any number.
+            spare_connections: idle connections that this VM may keep to the same
+                server; None for no limit.
         """
         if not connection.alive or connection.busy:
             return
@@ -103,17 +103,17 @@
             connection.abort()
 
     def release_unused(self, connection: UpstreamConnection) -> None:
-        """Keep a connection over which nothing was sent."""
+        """Return a connection to the pool over which nothing was sent."""
         connection.idle_since = asyncio.get_running_loop().time()
         self.release(connection)
 
     def drop_peer(self, peer: str) -> None:
-        """Close the idle connections to a backend server that is gone."""
+        """Close the idle connections to a backend server that was removed."""
         for connection in self._idle.pop(peer, []):
             connection.abort()
 
     def sweep(self, now: float) -> None:
-        """Close connections that were idle too long."""
+        """Close connections whose idle time has expired."""
         limit_s = choose_idle_limit_s(repeatable=True)
         for idle in self._idle.values():
             stale = [c for c in idle if not _is_usable(c, now, limit_s)]
--- a/src/ramppin/gateway/connection/requestreader.py
+++ b/src/ramppin/gateway/connection/requestreader.py
@@ -1,6 +1,6 @@
-"""Bytes of a caller's connection, parsed into whole requests within limits.
+"""Incremental parser of a caller's requests that enforces size limits.
 
-Owns the request that is half read. Limits come from the settings in force.
+Owns the request that is partially read. Limits come from the settings in force.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from ramppin.gateway.version.routing import CallerLimits
 
 HEADER_OVERHEAD_BYTES = 4
-"""Bytes of a header line beside name and value: colon, space and line end."""
+"""Bytes of a header line besides name and value: colon, space and CRLF."""
 
 
 @dataclass(slots=True)
 class CallerRequest:
-    """A request as a caller sent it, whole.
+    """A request as received from a caller.
 
     Attributes:
-        method: as sent.
+        method: the HTTP method.
         target: path and query as sent.
-        headers: in order, as sent.
-        body: the whole body.
-        arrived: the loop's time at which it was whole.
-        keep_alive: whether the caller wants to keep the connection.
-        http_1_0: whether the caller can't read chunks.
+        headers: in the order and spelling sent.
+        body: the complete body.
+        arrived: the loop's time at which the request was complete.
+        keep_alive: whether the connection may stay open after the answer.
+        http_1_0: whether the caller uses HTTP/1.0, without chunked encoding.
     """
 
     method: bytes
@@ -46,27 +46,27 @@
 
 
 class RequestHandler(ABC):
-    """Takes what a :class:`RequestReader` has read."""
+    """Receives the requests parsed by a :class:`RequestReader`."""
 
     @abstractmethod
     def accept_head(self, request: CallerRequest) -> None:
-        """Take a request whose head is whole."""
+        """Handle a request whose head is complete."""
 
     @abstractmethod
     def accept_complete(self, request: CallerRequest) -> None:
-        """Take a request that is whole."""
+        """Handle a complete request."""
 
 
 class RequestReader:
-    """Reads requests, and refuses those that break a limit.
+    """Parses requests, and refuses those that exceed a limit.
 
     Args:
-        handler: takes requests.
+        handler: receives the parsed requests.
         get_limits: returns the limits in force.
 
     Attributes:
-        incoming: the request that is half read, or None.
-        reads_head: whether its head has not ended.
+        incoming: the request that is partially read, or None.
+        reads_head: whether its head is still incomplete.
 
     .. versionadded:: 0.2
     """
@@ -85,10 +85,10 @@
         self.reads_head = False
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes.
+        """Parse received bytes.
 
         Raises:
-            RefusedRequestError: they are not a request, or one over a limit.
+            RefusedRequestError: the request is malformed or exceeds a limit.
         """
         began_before = self.reads_head
         try:
@@ -104,10 +104,10 @@
         if began_before and self.reads_head:
             self._count_unfinished(len(data))
 
-    # httptools' side
+    # callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a request."""
         self.incoming = CallerRequest(b"", b"", [])
         self.reads_head = True
         self._body = []
@@ -116,15 +116,15 @@
         self._unfinished_size = 0
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the target."""
+        """Append part of the request target."""
         assert self.incoming is not None
         self.incoming.target += url
         self._count_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; one behind the body (a trailer) is left out.
+        """Store a header; trailers (after the body) are counted but discarded.
 
-        Merged with the head, a trailer could pass for what the head says.
+        Merged into the head, a trailer could pass for a header of it.
         """
         assert self.incoming is not None
         if self.reads_head:
@@ -132,7 +132,7 @@
         self._count_head(len(name) + len(value) + HEADER_OVERHEAD_BYTES)
 
     def on_headers_complete(self) -> None:
-        """Check what the head announces."""
+        """Check the announced length of the body."""
         request = self.incoming
         assert request is not None
         self.reads_head = False
@@ -142,13 +142,13 @@
         self._handler.accept_head(request)
 
     def on_body(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Store part of the body."""
         self._body.append(data)
         self._body_size += len(data)
         self._check_body(self._body_size)
 
     def on_message_complete(self) -> None:
-        """Hand on a whole request."""
+        """Pass the complete request to the handler."""
         request = self.incoming
         assert request is not None
         self.incoming = None
@@ -168,10 +168,10 @@
             raise RefusedRequestError(431, f"head over {limit} bytes")
 
     def _count_unfinished(self, size: int) -> None:
-        """Count bytes of a head that the parser keeps until a header ends.
+        """Count bytes that the parser buffers until the current header is complete.
 
-        Only pieces that neither began nor ended the head are counted: the others
-        may hold bodies.
+        Only reads that neither start nor end the head are counted: any other may
+        contain bytes of a body.
         """
         self._unfinished_size += size
         limit = self._get_limits().max_header_bytes
@@ -185,7 +185,7 @@
 
 
 class RefusedRequestError(Exception):
-    """A request that breaks a limit; carries the status of its refusal."""
+    """A request that is malformed or exceeds a limit, with the status to answer."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(status)
--- a/src/ramppin/gateway/connection/reuse.py
+++ b/src/ramppin/gateway/connection/reuse.py
@@ -1,26 +1,26 @@
-"""Whether an idle connection to a backend server is used again, or kept.
+"""Rules for reusing and keeping idle connections to backend servers.
 
-A server may close an idle connection at the moment at which a request leaves. For
-a request that may be repeated that costs an attempt; for any other it is an answer
-that never comes, so such a request takes only connections that were idle briefly.
-Pure functions; :class:`~.pool.ConnectionPool` carries them out.
+A server may close an idle connection at the moment at which a request is sent. A
+repeatable request then costs one more attempt; any other request gets no answer, so
+it is sent only over connections that were idle briefly. Pure functions, applied by
+:class:`~.pool.ConnectionPool`.
 """
 
 from __future__ import annotations
 
 IDLE_LIMIT_S = 4.0
-"""Seconds for which an idle connection is kept."""
+"""Seconds after which an idle connection is closed."""
 
 IDLE_LIMIT_NOT_REPEATABLE_S = 0.7
-"""Seconds after which an idle connection carries nothing that can't be repeated."""
+"""Seconds after which an idle connection is not used for non-repeatable requests."""
 
 KEEP_ALIVE_SHARE = 0.5
-"""Part of the idle time that a server announces (``Keep-Alive: timeout=``) for which
-its connection is used."""
+"""Fraction of the idle time announced by a server (``Keep-Alive: timeout=``) for which
+its connection is reused."""
 
 
 def choose_idle_limit_s(*, repeatable: bool) -> float:
-    """Return how long a connection may have been idle to carry a request.
+    """Return the longest idle time of a connection that may carry a request.
 
     Args:
         repeatable: whether the request may be sent again if it fails.
@@ -34,7 +34,7 @@
     Args:
         idle_s: seconds since its last answer ended.
         limit_s: from :func:`choose_idle_limit_s`.
-        keep_alive_s: seconds that the server announced, or None.
+        keep_alive_s: idle time-out announced by the server, or None.
     """
     if keep_alive_s is not None:
         limit_s = min(limit_s, KEEP_ALIVE_SHARE * keep_alive_s)
@@ -42,11 +42,11 @@
 
 
 def may_keep(idle_connections: int, spare_connections: int | None) -> bool:
-    """Return whether a connection whose answer was whole is kept.
+    """Return whether to keep a connection after a complete answer.
 
     Args:
-        idle_connections: idle ones to the same server that are kept already.
-        spare_connections: what is left of this VM's share of the server's
-            connections; None for any number.
+        idle_connections: idle connections already kept to the same server.
+        spare_connections: unused part of this VM's share of the server's
+            connections; None for no limit.
     """
     return spare_connections is None or idle_connections < spare_connections
--- a/src/ramppin/gateway/connection/tcptimeouts.py
+++ b/src/ramppin/gateway/connection/tcptimeouts.py
@@ -1,8 +1,8 @@
-"""When a connection that has gone silent is given up, by the kernel's own probes.
+"""TCP user time-out and keepalive probes, which detect dead connections.
 
-A connection may go silent for good, without a reset, while new ones work: nothing but a
-time-out tells it from a peer that is slow. A peer's kernel acknowledges bytes and
-probes however busy its program is, so a connection without acknowledgements is dead.
+A connection can fail without a reset while new ones work; only a time-out
+distinguishes it from a slow peer. A peer's kernel acknowledges data and probes however
+busy its process is, so a connection without acknowledgements is dead.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TcpTimeouts:
-    """How long a peer's kernel may be silent.
+    """How long a peer's kernel may send no acknowledgement.
 
     Attributes:
-        unacknowledged_ms: time after which bytes without acknowledgement end the
-            connection, in milliseconds.
-        idle_s: time without a byte after which the peer is probed, in seconds.
+        unacknowledged_ms: time after which unacknowledged data ends the connection,
+            in milliseconds.
+        idle_s: time without data after which the peer is probed, in seconds.
         probe_interval_s: time between two probes, in seconds.
-        max_probes: probes without an answer that end the connection.
+        max_probes: number of unanswered probes that end the connection.
     """
 
     unacknowledged_ms: int
@@ -34,23 +34,24 @@
 UPSTREAM_TIMEOUTS = TcpTimeouts(
     unacknowledged_ms=1_000, idle_s=2, probe_interval_s=1, max_probes=2
 )
-"""To backend servers, peers and the log. A stream's caller leaves after 2 s without an
-event: a request on a dead connection must be sent again before. Over a link that loses
-3 in 100 packets three sends of a second are lost once in some 40,000 requests. A dead
-connection that awaits an answer is found out after 3 to 4 s, as is an idle one."""
+"""For connections to backend servers, peers and the log. Callers of streams disconnect
+after 2 s without an event, so a request on a dead connection must be sent again before
+that. If 3 of 100 packets are lost, three transmissions within a second are lost once in
+some 40,000 requests. A dead connection is detected after 3 to 4 s, whether it awaits an
+answer or is idle."""
 
 CALLER_TIMEOUTS = TcpTimeouts(
     unacknowledged_ms=10_000, idle_s=10, probe_interval_s=5, max_probes=3
 )
-"""From callers: only what a dead caller holds is at stake, a server's work on a stream
-that no one reads and this VM's memory. Found out after 10 s of an unread stream, or
-after 20 to 25 s of silence."""
+"""For connections from callers. A dead caller costs only a server's work on an unread
+stream and memory of this VM. It is detected after 10 s of unacknowledged data, or after
+20 to 25 s without any."""
 
 
 def set_tcp_timeouts(transport: asyncio.BaseTransport, timeouts: TcpTimeouts) -> None:
-    """Let the kernel end a connection whose peer is silent.
+    """Set the time-outs on a transport's socket.
 
-    Only a limit for dead peers: a connection without it works as well.
+    Errors are ignored: a connection works without them, but detects a dead peer late.
     """
     raw = transport.get_extra_info("socket")
     if raw is None:
--- a/src/ramppin/gateway/connection/upstream.py
+++ b/src/ramppin/gateway/connection/upstream.py
@@ -1,8 +1,8 @@
-"""Connections to backend servers, each with one request at a time.
+"""Client side of HTTP/1.1 connections to backend servers, one request at a time.
 
-Owns the transport and the parser of one connection; whether it is used again is
-decided in :mod:`~.reuse`. Built on asyncio's protocols and httptools' parser in
-place of aiohttp's client, which repeats some requests unasked when a kept connection
+Owns the transport and the parser of one connection; the rules for reusing it are in
+:mod:`~.reuse`. Built on asyncio protocols and the httptools parser in place of
+aiohttp's client, which retries some requests by itself when a persistent connection
 drops.
 """
 
@@ -20,7 +20,7 @@
 from ramppin.gateway.connection.tcptimeouts import UPSTREAM_TIMEOUTS, set_tcp_timeouts
 
 NO_BODY_STATUSES = frozenset({204, 304})
-"""Statuses whose answers have no body (RFC 9112, section 6.3)."""
+"""Statuses of answers without a body (RFC 9112, section 6.3)."""
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
     Attributes:
         status: the HTTP status.
         headers: the headers as received.
-        length: the body's length in bytes if the head has it, else None.
+        length: the value of ``Content-Length``, or None.
     """
 
     status: int
@@ -39,38 +39,38 @@
 
 
 class AnswerReceiver(ABC):
-    """Takes an answer as it arrives."""
+    """Receives an answer as it is parsed."""
 
     @abstractmethod
     def accept_head(self, head: AnswerHead) -> bool:
-        """Take a head; False if it answers another request."""
+        """Handle the head; return False if it answers another request."""
 
     @abstractmethod
     def accept_body(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Handle part of the body."""
 
     @abstractmethod
     def accept_end(self) -> None:
-        """Take the end of a whole answer."""
+        """Handle the end of a complete answer."""
 
     @abstractmethod
     def accept_failure(self, error: BrokenAnswerError) -> None:
-        """Take the failure of an answer that ended before it was whole."""
+        """Handle an answer that failed before it was complete."""
 
 
 class UpstreamConnection(asyncio.Protocol):
     """A connection to a backend server.
 
     Args:
-        peer: the backend server, for errors.
+        peer: the backend server, for error messages.
 
     Attributes:
         peer: as given.
-        idle_since: the loop's time at which the last answer ended.
-        keep_alive_s: seconds for which the server said that it keeps the connection
-            idle; None if it did not say.
-        was_timed_out: whether it ended because the peer acknowledged nothing.
-        was_lost: whether it ended otherwise while a request was in flight.
+        idle_since: the loop's time at which the connection became idle.
+        keep_alive_s: idle time-out announced by the server in ``Keep-Alive``, or
+            None.
+        was_timed_out: whether it ended because the peer sent no acknowledgements.
+        was_lost: whether it ended for another reason while a request was in flight.
 
     .. versionadded:: 0.2
     """
@@ -102,32 +102,32 @@
         """Whether a request is in flight."""
         return self._receiver is not None
 
-    # asyncio's side
+    # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and set its time-outs."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         set_tcp_timeouts(transport, UPSTREAM_TIMEOUTS)
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of the answer."""
+        """Feed received bytes to the parser."""
         if self._receiver is None or self._parser is None:
-            # Bytes that answer no request: the connection can't be used again.
+            # Data without a request in flight: the connection can't be reused.
             self.abort()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(f"bytes that form no answer: {error}")
+            self._fail(f"malformed HTTP answer: {error}")
         except httptools.HttpParserCallbackError as error:
-            self._fail(f"the answer could not be taken: {error.__context__}")
+            self._fail(f"error while processing the answer: {error.__context__}")
         if self._receiver is None and not self._reusable:
-            # A surplus answer came in the same bytes as the awaited one.
+            # An unsolicited answer arrived in the same read as the expected one.
             self._close()
 
     def eof_received(self) -> bool:
-        """End an answer that has no length; anything else is broken."""
+        """Finish an answer that is delimited by the close; any other is incomplete."""
         if self._receiver is not None and self._until_close and not self._skipping:
             self._finish()
         return False
@@ -139,7 +139,7 @@
         self.was_lost = self._receiver is not None and not self.was_timed_out
         self._fail(f"connection lost: {exc or 'closed by the peer'}")
 
-    # the caller's side
+    # called by the owner of the request
 
     def send(
         self,
@@ -158,10 +158,10 @@
             head_request: whether the method is HEAD, whose answer has no body.
 
         Raises:
-            NotSentError: the connection is gone; no byte was sent.
+            NotSentError: the connection is closed; no byte was sent.
         """
         if not self.alive or self._transport is None:
-            raise NotSentError("connection is gone", step="send", peer=self.peer)
+            raise NotSentError("connection is closed", step="send", peer=self.peer)
         self._receiver = receiver
         self._head_request = head_request
         self._until_close = False
@@ -171,36 +171,36 @@
         self._transport.write(head + body if body else head)
 
     def pause(self) -> None:
-        """Stop reading: the reader of the answer is slow."""
+        """Stop reading, to apply backpressure to the server."""
         if self._transport and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Go on reading."""
+        """Resume reading."""
         if self._transport and not self._transport.is_closing():
             self._transport.resume_reading()
 
     def abort(self) -> None:
-        """Close at once; the receiver of a request in flight is not told."""
+        """Reset the connection; the receiver of a request in flight is not called."""
         self._receiver = None
         self._reusable = False
         if self._transport:
             self._transport.abort()
 
-    # httptools' side
+    # callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Begin an answer; after a surplus one the connection is not used again."""
+        """Start an answer; an unsolicited one makes the connection unusable."""
         self._headers = []
         if self._receiver is None:
             self._reusable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Store a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Pass the head on, unless it is interim or another request's."""
+        """Pass the head on unless it is interim; skip an answer that is rejected."""
         parser, receiver = self._parser, self._receiver
         if parser is None or receiver is None:
             return
@@ -219,12 +219,12 @@
             self._reusable = False
 
     def on_body(self, data: bytes) -> None:
-        """Pass a piece of the body on."""
+        """Pass part of the body to the receiver."""
         if self._receiver is not None and not self._skipping:
             self._receiver.accept_body(data)
 
     def on_message_complete(self) -> None:
-        """End the answer if it is the one awaited."""
+        """Finish the answer if it is the expected one."""
         parser = self._parser
         if parser is None or self._receiver is None:
             return
@@ -235,7 +235,7 @@
             self._reusable = False
         self._finish()
 
-    # ends
+    # completion
 
     def _finish(self) -> None:
         receiver, self._receiver = self._receiver, None
@@ -244,7 +244,7 @@
         self.idle_since = self._loop.time()
         self.keep_alive_s = _read_keep_alive(self._headers)
         if self._transport.get_write_buffer_size() > 0:
-            # Answered before the whole body was sent: the rest can't be taken back.
+            # Answered before the request was sent: buffered bytes can't be recalled.
             self._reusable = False
         if self._until_close:
             self._reusable = False
@@ -289,7 +289,7 @@
     """Open a connection to a backend server.
 
     Raises:
-        NotSentError: it did not come up in time.
+        NotSentError: it could not be established in time.
     """
     loop = asyncio.get_running_loop()
     try:
