--- a/src/ramppin/gateway/version/__init__.py
+++ b/src/ramppin/gateway/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a version of the settings: routes, services, customers, limits."""
+"""Models of one version of the settings: routes, services, customers, limits."""
--- a/src/ramppin/gateway/version/address.py
+++ b/src/ramppin/gateway/version/address.py
@@ -1,6 +1,6 @@
-"""Addresses as they stand in entries: an IP address and a port.
+"""Parsing of the addresses in entries: an IP address and a port.
 
-Names are not taken: looking one up would hold up all requests.
+Host names are rejected, because resolving one would block all requests.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
     """Return the host and the port of ``IP:PORT``, or ``[IP]:PORT``.
 
     Raises:
-        ValueError: it is not of that form; the message says what is wrong.
+        ValueError: the text has another form; the message names the fault.
     """
     host, _, port = text.rpartition(":")
     if not (port.isascii() and port.isdecimal() and 0 < int(port[:9]) <= MAX_PORT):
@@ -24,10 +24,10 @@
 
 
 def check_host(text: str) -> str:
-    """Return an IP address as it was given.
+    """Validate an IP address and return it unchanged.
 
     Raises:
-        ValueError: it is none.
+        ValueError: the text is not an IP address.
     """
     ip_address(text)
     return text
--- a/src/ramppin/gateway/version/routing.py
+++ b/src/ramppin/gateway/version/routing.py
@@ -1,8 +1,8 @@
-"""One version of what is routed where: routes, services, customers, limits.
+"""One version of the routing settings: routes, services, customers, limits.
 
-A :class:`RoutingTable` is immutable; a request reads the one that is in force
-when it arrives. Whoever publishes settings (ramppin's own file or an adapter)
-builds one; see :mod:`ramppin.gateway.process.recovery.sources`.
+A :class:`RoutingTable` is immutable; a request uses the one that is in force when it
+arrives. The decoder of each source of settings (ramppin's own format or an adapter)
+builds it; see :mod:`ramppin.gateway.process.recovery.sources`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated on a route."""
+    """Which requests of a route may be sent again."""
 
     REPEATABLE = "repeatable"
     ONCE = "once"
@@ -21,7 +21,7 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether answers are series of events."""
+        """Whether answers are event streams."""
         return self is RouteKind.STREAM
 
 
@@ -35,22 +35,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of a host and path prefix go, and how.
+    """Destination and rules of the requests for a host and path prefix.
 
     Attributes:
         name: the route's name, for logs and metrics.
         host: the host, in lower case, without a port.
         path_prefix: begins and ends with a slash.
         services: one service, or a weighted split.
-        kind: what may be repeated.
-        resumable: whether a stream may be continued by another backend server.
-        time_limit_s: longest time that a request is held.
-        max_attempts: most backend servers that may run one request.
-        priority: rank among routes; 0 is the most urgent.
-        public: whether requests need no key.
+        kind: which requests may be sent again.
+        resumable: whether another backend server may resume a stream.
+        time_limit_s: maximum processing time of a request, from its arrival.
+        max_attempts: maximum number of runs of one request, the first included.
+        priority: priority among routes; 0 is the highest.
+        public: whether requests need no API key.
         keeps_prefix: whether backend servers cache prompt prefixes.
-        target_s: time within which callers want the first byte; None if none is
-            set. Requests after it count as late in ``ramppin losses``.
+        target_s: target time to the first byte; None if none is set. Requests that
+            exceed it count as late in ``ramppin losses``.
     """
 
     name: str
@@ -68,20 +68,20 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request may be sent again after it may have run."""
         return self.kind is RouteKind.REPEATABLE or self.resumable
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """What holds for every backend server of a service.
+    """Limits that apply to every backend server of a service.
 
     Attributes:
         name: the service's name.
-        max_connections: connections that one backend server takes in all; 0 for
-            any number.
-        cold_s: seconds for which one is cold after its start.
-        cold_per_s: requests a second that one takes while cold; 0 for any number.
+        max_connections: maximum connections to one backend server from all VMs;
+            0 for no limit.
+        cold_s: seconds for which a server is cold after its start.
+        cold_per_s: maximum requests per second to a cold server; 0 for no limit.
     """
 
     name: str
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer and its rank; 0 is the most urgent."""
+    """A customer and its priority; 0 is the highest."""
 
     name: str
     priority: int = 0
@@ -100,9 +100,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or be idle.
+    """Size limits and time-outs for callers.
 
-    The defaults hold before the first settings are known.
+    The defaults apply until the first settings are loaded.
     """
 
     max_header_bytes: int = 16_384
@@ -113,14 +113,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """One version of the routing settings, ready for requests.
+    """One version of the routing settings, indexed for look-ups.
 
     Args:
-        version: the publisher's number; versions rise in uneven steps.
+        version: number set by the publisher; it increases, possibly by more than 1.
         routes: all routes.
         services: services by name.
         customers: customers by API key; empty if no keys are used.
-        limits: limits on callers.
+        limits: limits for callers.
 
     .. versionadded:: 0.2
     """
@@ -142,7 +142,7 @@
         """Return the route with the longest prefix of a path, or None.
 
         Args:
-            host: as the caller named it; a port and letter case don't matter.
+            host: host of the request; port and letter case are ignored.
             path: the path with or without its query.
         """
         prefixes = self._by_host.get(strip_port(host).lower())
@@ -166,7 +166,7 @@
 
 
 def choose_service(services: Iterable[WeightedService], point: float) -> str:
-    """Return the service of a split at a point from 0 up to 1."""
+    """Return the service of a weighted split for a point in [0, 1)."""
     choices = tuple(services)
     total = sum(choice.weight for choice in choices)
     remaining = point * total
--- a/src/ramppin/gateway/version/routingfile.py
+++ b/src/ramppin/gateway/version/routingfile.py
@@ -1,7 +1,7 @@
-"""Routing settings in ramppin's own words, as a tree that inherits.
+"""Routing settings in ramppin's own format, a tree whose rules are inherited.
 
-Levels from the root down: the fleet, the service, the host, the route. Each
-overrides only what it must; the lowest level that sets a rule supplies it.
+Levels from the root down: fleet, service, host, route. Each level overrides the rules
+that it sets; the lowest level that sets a rule applies.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 )
 
 UNUSED_RULES = frozenset({"target_latency_s"})
-"""Rules that settings may hold and that no route uses."""
+"""Rules that settings may contain but that have no effect."""
 
 
 class RouteRules(msgspec.Struct, forbid_unknown_fields=True):
-    """Rules that every level may set; None inherits. Times in seconds.
+    """Rules that every level may set; None means inherited. Times in seconds.
 
     ``target_latency_s`` is accepted and has no effect.
     """
@@ -55,7 +55,7 @@
 
 
 class HostNode(msgspec.Struct, forbid_unknown_fields=True):
-    """A host with its routes by path prefix."""
+    """A host and its routes by path prefix."""
 
     routes: dict[str, RouteNode]
     rules: RouteRules = msgspec.field(default_factory=RouteRules)
@@ -76,14 +76,14 @@
 
 
 class CustomerNode(msgspec.Struct, forbid_unknown_fields=True):
-    """A customer with its keys; priority 0 is the most urgent."""
+    """A customer and its API keys; priority 0 is the highest."""
 
     keys: list[str]
     priority: int = 0
 
 
 class LimitsNode(msgspec.Struct, forbid_unknown_fields=True):
-    """Limits on callers."""
+    """Limits for callers."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -92,7 +92,7 @@
 
 
 class RoutingTree(msgspec.Struct, forbid_unknown_fields=True):
-    """A whole tree of routing settings."""
+    """The root of the routing settings."""
 
     version: int
     hosts: dict[str, HostNode]
@@ -108,12 +108,12 @@
     Attributes:
         service: the service that it serves.
         address: IP:PORT.
-        failure_domain: where it stands.
-        slots: requests that it runs at once.
-        draining: whether it takes no new work.
-        started_ms: Unix time of its start in milliseconds: a later one under the same
-            id says that it has started again and knows nothing of before.
-        cold_s: seconds for which it is still cold.
+        failure_domain: the failure domain that it belongs to.
+        slots: maximum number of concurrent requests.
+        draining: whether it accepts no new requests.
+        started_ms: Unix time of its start in milliseconds. A later time under the same
+            id means that it has restarted and lost its state.
+        cold_s: remaining seconds for which it is cold.
     """
 
     service: str
@@ -126,7 +126,7 @@
 
 
 class TreeDecoder(RecordDecoder):
-    """Decodes records in ramppin's own words.
+    """Decodes records in ramppin's own format.
 
     .. versionadded:: 0.2
     """
@@ -138,7 +138,7 @@
         return build_table(_decode(record, RoutingTree))
 
     def find_evacuated(self, record: Record) -> str | None:
-        """Return the failure domain that a record empties, or None."""
+        """Return the failure domain that a record evacuates, or None."""
         return parse_domain(record.key, EVACUATION_PREFIX)
 
     def decode_server(self, record: Record) -> BackendServer:
@@ -164,11 +164,11 @@
 
 
 def build_table(tree: RoutingTree) -> RoutingTable:
-    """Return the table of a tree, each route with the rules that it inherits.
+    """Build the routing table of a tree, with inherited rules resolved.
 
     Raises:
-        SettingsError: a route names a service that the tree lacks, or a path
-            prefix does not begin and end with a slash.
+        SettingsError: a route refers to an undefined service, or a path prefix
+            does not begin and end with a slash.
     """
     routes = [
         _build_route(tree, host, prefix, node)
@@ -195,7 +195,7 @@
     path = f"hosts.{host}.routes.{prefix}"
     if not prefix.startswith("/") or not prefix.endswith("/"):
         raise SettingsError(
-            "a path prefix begins and ends with a slash",
+            "path prefix must begin and end with a slash",
             path=path,
             hint=f"/{prefix.strip('/')}/",
         )
@@ -203,7 +203,7 @@
     for service in split:
         if service not in tree.services:
             raise SettingsError(
-                f"no service {service!r}",
+                f"undefined service {service!r}",
                 path=path,
                 hint=f"one of {', '.join(sorted(tree.services))}",
             )
