--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -145,7 +145,7 @@
 
 @then("no question waits at the relay")
 def step_none_waits(context):
-    waiting = context.fixture.gateway.tables.settings._waiting
+    waiting = context.fixture.gateway.tables.settings._callbacks
     assert not waiting, waiting
 
 
@@ -319,7 +319,7 @@
 @then("one read of the table gives the last one alone in under {limit:d} bytes")
 def step_last_alone(context, limit):
     async def read():
-        fetcher = context.relayed._open(Member("vm-1", "127.0.0.1", 0.0))
+        fetcher = context.relayed._open_fetcher(Member("vm-1", "127.0.0.1", 0.0))
         sizes = []
         post = fetcher.post
 
