--- a/src/ramppin/gateway/process/recovery/peerchoice.py
+++ b/src/ramppin/gateway/process/recovery/peerchoice.py
@@ -1,9 +1,9 @@
-"""When peers are asked for records, and which.
+"""Rules that decide when records are requested from peers, and from which.
 
-A VM asks while the log turns it away. It asks the peers that it saw last, which
-are the likeliest to answer, and the seeds of its settings, which it can reach
-before it has read any list; a few at a time, chosen at random, so that the
-questions of many VMs spread. Pure.
+A VM requests records from peers while it cannot read the log. Candidates are the peers
+seen most recently, which are the most likely to answer, and the seeds in the settings,
+which are known before any list of VMs was read. A few are chosen at random each time,
+so that the requests of many VMs spread over the fleet. The functions are pure.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from itertools import islice
 
 PEERS_CONSIDERED = 6
-"""Peers seen last among which those to ask are chosen, beside the seeds."""
+"""Number of peers seen most recently that are candidates, besides the seeds."""
 
 PEERS_ASKED = 2
-"""Peers asked at a time: one may be as cut off as the asker."""
+"""Peers that are asked at a time: one alone may have lost the log as well."""
 
 OVERDUE_S = 0.6
-"""Seconds by which a read of the log must be late for its table to be stale."""
+"""Seconds by which a read of the log must be overdue before its table is stale."""
 
 
 def is_stale(*, reachable: bool, age_s: float, read_cycle_s: float) -> bool:
-    """Return whether a table's records must be asked of peers.
+    """Return whether a table's records must be requested from peers.
 
     Args:
         reachable: whether the last read of the log succeeded.
-        age_s: seconds since the table was last known to be current.
-        read_cycle_s: longest time between the ends of two reads that succeed.
+        age_s: seconds since the table was last confirmed to be current.
+        read_cycle_s: longest time between the ends of two successful reads.
     """
     return not reachable or age_s > read_cycle_s + OVERDUE_S
 
@@ -36,11 +36,11 @@
 def list_candidates(
     last_seen_first: Iterable[str], seeds: Iterable[str], own_host: str
 ) -> list[str]:
-    """Return the addresses of peers among which those to ask are chosen.
+    """Return the addresses of the peers that may be asked for records.
 
     Args:
-        last_seen_first: addresses of all peers, the one seen last first.
-        seeds: addresses of some VMs from the settings, which may be stale.
+        last_seen_first: addresses of all peers, the most recently seen one first.
+        seeds: addresses of VMs from the settings; some may be outdated.
         own_host: this VM's address.
     """
     hosts = {*islice(last_seen_first, PEERS_CONSIDERED), *seeds}
@@ -48,10 +48,10 @@
 
 
 def choose_peers(candidates: Sequence[str], generator: random.Random) -> list[str]:
-    """Return the peers to ask now.
+    """Return the peers to ask now, drawn at random.
 
     Args:
-        candidates: from :func:`list_candidates`.
-        generator: random numbers.
+        candidates: the result of :func:`list_candidates`.
+        generator: source of randomness.
     """
     return generator.sample(candidates, min(PEERS_ASKED, len(candidates)))
--- a/src/ramppin/gateway/process/recovery/recordapplier.py
+++ b/src/ramppin/gateway/process/recovery/recordapplier.py
@@ -1,10 +1,9 @@
-"""What a record of the shared log changes in a gateway.
+"""Applies records of the shared log to the state of the gateway.
 
-Takes the records of the followed tables, writes a decision line for each change,
-and puts what they say where exchanges read it. Settings that can't be read change
-nothing, so that what was known goes on serving. An entry of a backend server that
-can't be read is another writer's, or the server is not well: it gets no new work until
-its next good entry.
+Updates the settings and the backend servers that exchanges use, and writes a decision
+line for each change. Settings that can't be decoded are ignored, and the previous ones
+stay in force. A backend server whose entry can't be decoded gets no new requests until
+its next valid entry: the entry comes from a foreign writer, or the server is faulty.
 """
 
 from __future__ import annotations
@@ -21,13 +20,14 @@
 
 
 class RecordApplier:
-    """Takes records of the settings and of the backend servers.
+    """Applies records of the settings and of the backend servers.
 
     Args:
-        settings_key: key of the record that holds the routing settings.
-        decoder: turns records into models.
-        context: where the settings in force and the servers are.
-        find_hold_end: returns until when an entry that vanishes now is held.
+        settings_key: key of the record that contains the routing settings.
+        decoder: decodes records into models.
+        context: contains the settings in force and the backend servers.
+        find_hold_end: returns until when an entry that is removed now stays in use, or
+            None if it is not retained.
 
     .. versionadded:: 0.2
     """
@@ -45,7 +45,7 @@
         self._find_hold_end = find_hold_end
 
     def apply_settings(self, record: Record) -> None:
-        """Put settings in force, unless they are older or can't be read."""
+        """Put settings in force, unless they are outdated or can't be decoded."""
         context = self._context
         try:
             domain = self._decoder.find_evacuated(record)
@@ -76,7 +76,7 @@
         )
 
     def _apply_evacuation(self, domain: str, record: Record) -> None:
-        """Empty a failure domain, or take it back."""
+        """Evacuate a failure domain, or restore it."""
         context, now = self._context, asyncio.get_running_loop().time()
         evacuations = context.directory.evacuations
         servers = len(context.directory.list_domain(domain))
@@ -90,7 +90,7 @@
                 )
             return
         ended = evacuations.end(domain)
-        # Also where this VM never read that it was emptied: its servers may be cold.
+        # Also if this VM never read the evacuation: the servers may be cold anyway.
         self._assume_cold(domain, now)
         context.decisions.note(
             "domain_restored",
@@ -101,10 +101,10 @@
         )
 
     def _assume_cold(self, domain: str, now: float) -> None:
-        """Take the servers of a failure domain that is back for cold.
+        """Treat the servers of a restored failure domain as cold.
 
-        They may have been cleared meanwhile, and their entries that tell it come later
-        than the word that the domain is back.
+        Their caches may have been cleared during the evacuation, and the entries that
+        report this arrive later than the record that restores the domain.
         """
         table = self._context.table
         if table is None:
@@ -115,7 +115,7 @@
                 state.coldness.assume_cold(spec.cold_s, now)
 
     def apply_server(self, record: Record) -> None:
-        """Take a backend server's entry, or the end of one."""
+        """Apply a backend server's entry, or its removal."""
         if record.value is None:
             self._apply_removal(record.key)
             return
@@ -137,12 +137,12 @@
     def _apply_start(
         self, known: ServerState, server: BackendServer, record: Record
     ) -> bool:
-        """Return whether an entry may be taken, by the start that it tells."""
+        """Compare an entry's start time to the known one; return whether it applies."""
         context = self._context
         entry_started_ms, known_ms = server.started_ms, known.server.started_ms
         verdict = judge_start(known_ms, entry_started_ms)
         if verdict is StartVerdict.UNSTATED:
-            self._refuse_server(record, f"no start, where {known_ms} was known")
+            self._refuse_server(record, f"no start time; the known one is {known_ms}")
             return False
         if verdict is StartVerdict.EARLIER:
             context.decisions.note(
@@ -166,7 +166,7 @@
         return True
 
     def _apply_coldness(self, state: ServerState, offset: int) -> None:
-        """Take for how long a server is still cold."""
+        """Apply the time for which a server remains cold."""
         context, server = self._context, state.server
         now = asyncio.get_running_loop().time()
         if state.coldness.apply_entry(server.cold_s, now):
@@ -182,7 +182,7 @@
             context.cold_quota.forget(state.id)
 
     def _refuse_server(self, record: Record, reason: str) -> None:
-        """Take no entry that can't be read; its server gets no new work meanwhile."""
+        """Reject an entry; its server gets no new requests until its next valid one."""
         context = self._context
         context.directory.mark_unreadable(record.key)
         context.metrics.refused_entries.inc("servers")
--- a/src/ramppin/gateway/process/recovery/relays.py
+++ b/src/ramppin/gateway/process/recovery/relays.py
@@ -1,11 +1,12 @@
-"""Reads a table of the shared log through a relay, where there is one.
+"""Reads a table of the shared log through a relay, if the fleet has any.
 
-Which VMs are relays, and when their word is too old, is decided in
-:mod:`~.relayrules`. A relay sends only the newest record of each key, compressed.
-An answer that is not accepted, or none, sends a VM to the log itself for a while:
-a VM never depends on another to learn what the log would say.
+The rules that select relays and limit the age of their answers are in
+:mod:`~.relayrules`. A relay sends only the newest record of each key, compressed. If
+an answer is rejected or missing, the VM avoids that relay for a while, tries another
+one and then reads the log directly: no VM depends on another VM for its records.
+While its direct calls fail, it keeps using its relay.
 
-Owns the connection to the relay and the time until which relays are avoided.
+Holds the connection to the relay and the time until which each failed relay is avoided.
 """
 
 from __future__ import annotations
@@ -35,15 +36,15 @@
 from ramppin.gateway.process.recovery.sources import RecordBatch, RecordSource
 
 LOG_PAUSE_S = 3.0
-"""Seconds after a failed call of its own for which a VM leaves the log to its relays,
-even if they have lost it too: each call is priced, also one that is refused, and while
-the log is away every VM would make two or three a second."""
+"""Seconds after a failed direct call for which a VM leaves the log to its relays, even
+if they have lost it too. Refused calls are priced as well, and during an outage every
+VM would otherwise make two or three a second."""
 
 LOG = logging.getLogger(__name__)
 
 
 class RelayedSource(RecordSource):
-    """A table that is read through relays where there are any.
+    """A table that is read through a relay if there is one, else from the log.
 
     Args:
         name: the table's name.
@@ -51,8 +52,8 @@
         direct: the table in the shared log.
         port: the port on which relays answer.
         list_relays: returns the relays of the fleet.
-        monitor: what this VM's own calls to the log show.
-        times: how old records may grow on their way.
+        monitor: outcomes of this VM's direct calls to the log.
+        times: limits on the age of records from relays.
 
     .. versionadded:: 0.2
     """
@@ -82,11 +83,11 @@
         self._fetcher_vm = ""
 
     async def read_newest(self, *, timeout_s: float) -> RecordBatch:
-        """Return the newest record of each key, from the log itself."""
+        """Return the newest record of each key, read directly from the log."""
         return await self._direct.read_newest(timeout_s=timeout_s)
 
     async def read_after(self, position: int, *, wait_s: float) -> RecordBatch:
-        """Return what follows a position, from a relay if there is one."""
+        """Return the records after a position, from a relay if there is one."""
         relays = self._list_relays()
         relay = choose_own_relay(self._own, relays, self._list_avoided())
         if relay is None:
@@ -99,15 +100,16 @@
         except LogUnavailableError as error:
             now = asyncio.get_running_loop().time()
             if self._monitor.failed_within(LOG_PAUSE_S, now):
-                # The log fails here too: the relay is still the one that costs least.
+                # Direct calls fail too, so a retry at the relay is the cheaper one.
                 raise
             self._avoid(relay, error)
         return await self._read_fallback(relays, position)
 
     async def _read_fallback(self, relays: list[Member], position: int) -> RecordBatch:
-        """Ask another relay at once, and read the log itself if that fails too.
+        """Query another relay without waiting; read the log directly if that fails.
 
-        When a relay is stopped, each of its forty VMs would make a call for each table.
+        Without the second relay, the stop of a relay would cause a call to the log from
+        each of its 40 VMs, for each table.
         """
         other = choose_own_relay(self._own, relays, self._list_avoided())
         if other is not None:
@@ -118,7 +120,7 @@
         return await self._read_log(position, 0.0)
 
     async def _read_log(self, position: int, wait_s: float) -> RecordBatch:
-        """Read the log itself."""
+        """Read the log directly."""
         loop = asyncio.get_running_loop()
         asked_at = loop.time()
         batch = await self._direct.read_after(position, wait_s=wait_s)
@@ -128,7 +130,7 @@
         return batch
 
     def _avoid(self, relay: Member, error: LogUnavailableError) -> None:
-        """Ask another relay for a while, so that the log is read but once here."""
+        """Avoid a failed relay, so that the log is read directly only once."""
         LOG.info(
             "relay avoided for %.0f s: %s",
             AVOID_S,
@@ -139,7 +141,7 @@
         self._avoid_until[relay.vm] = now + AVOID_S
 
     def _list_avoided(self) -> set[str]:
-        """Return relays to pass over; none while the log fails here as well."""
+        """Return the names of avoided relays; none while direct calls fail as well."""
         now = asyncio.get_running_loop().time()
         if self._monitor.failed_within(LOG_PAUSE_S, now):
             return set()
@@ -174,7 +176,7 @@
         records = tuple(Record(r.key, r.value, r.offset) for r in state.records)
         batch = RecordBatch(records, state.position, age_s, relayed=True)
         batch = batch.note_wait(wait_s, loop.time() - asked_at)
-        # An answer with news may have been built at any time since the question left.
+        # An answer with records may have been built at any time since the request.
         self._known_at = asked_at + batch.waited_s - age_s
         return batch
 
@@ -200,12 +202,12 @@
 
 
 class RelaySelector:
-    """The relays of the fleet, by this VM's list of members.
+    """Selects the relays of the fleet from this VM's list of members.
 
     Args:
         own: this VM.
         members: the other VMs.
-        monitor: what this VM's own calls to the log show.
+        monitor: outcomes of this VM's direct calls to the log.
 
     .. versionadded:: 0.2
     """
@@ -216,7 +218,7 @@
         self._monitor = monitor
 
     def list_relays(self) -> list[Member]:
-        """Return the relays now."""
+        """Return the relays among the VMs that are live now."""
         now = asyncio.get_running_loop().time()
         self._own.log_up = self._monitor.is_up(now)
         return choose_relays([self._own, *self._members.list_live(now)])
--- a/src/ramppin/gateway/process/recovery/replica.py
+++ b/src/ramppin/gateway/process/recovery/replica.py
@@ -1,8 +1,8 @@
-"""A local replica of keyed records that lie in a shared log.
+"""An in-memory replica of one table of keyed records in the shared log.
 
-The newest record of each key counts, by its offset; a record without a value
-removes its key. A replica never goes back: an older record of a key, from
-whichever source, changes nothing. Owns the records of one table, in memory.
+The record with the highest offset of each key is in force; a record without a value
+removes its key. A replica never moves backwards: an older record of a key is ignored,
+whichever source it comes from.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 LOG = logging.getLogger(__name__)
 
 MAX_LOGGED_KEY = 100
-"""Characters of a key that are logged: another writer's may be of any length."""
+"""Characters of a key that are logged: foreign writers may use keys of any length."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,9 +22,9 @@
     """A record of the shared log.
 
     Attributes:
-        key: what it is about.
-        value: what it says; None removes the key.
-        offset: its place in the log.
+        key: identifies the entry that the record sets or removes.
+        value: the encoded entry; None removes the key.
+        offset: its offset in the log.
     """
 
     key: str
@@ -36,14 +36,14 @@
     """The newest record of each key.
 
     Args:
-        name: the table's name, for logs and peers.
-        on_change: called with each record that replaces an older one.
+        name: the table's name, used in log lines and in messages to peers.
+        on_change: called with each new record that takes effect.
 
     Attributes:
-        name: as given.
-        position: offset up to which the log is known.
-        confirmed_at: the loop's time at which that was last known to be the log's
-            end; -inf before the first read.
+        name: the table's name.
+        position: offset up to which the log has been read.
+        confirmed_at: the loop's time at which the position was last confirmed to be
+            the log's end; -inf before the first read.
 
     .. versionadded:: 0.2
     """
@@ -61,15 +61,15 @@
 
     @property
     def started(self) -> bool:
-        """Whether the replica has been filled once."""
+        """Whether the table has been read at least once."""
         return self.confirmed_at > float("-inf")
 
     def apply(self, records: Iterable[Record], position: int, as_of: float) -> None:
-        """Take records that follow what the replica has.
+        """Apply records that follow the replica's position.
 
         Args:
-            records: in the log's order.
-            position: offset up to which the log is now known.
+            records: in the order of the log.
+            position: offset up to which the log has now been read.
             as_of: the loop's time at which that was the log's end.
         """
         for record in records:
@@ -80,7 +80,7 @@
         self.confirmed_at = max(self.confirmed_at, as_of)
 
     def replace(self, records: Iterable[Record], position: int, as_of: float) -> None:
-        """Take the newest record of every key; a key not among them is gone."""
+        """Apply the newest record of every key, and remove all other keys."""
         found = {record.key: record for record in records}
         for key, known in list(self._records.items()):
             if key not in found and known.offset < position and known.value is not None:
@@ -88,19 +88,19 @@
         self.apply(found.values(), position, as_of)
 
     def list_since(self, offset: int) -> list[Record]:
-        """Return the newest records at or after an offset, in the log's order."""
+        """Return the newest record of each key at or after an offset, in log order."""
         found = [r for r in self._records.values() if r.offset >= offset]
         return sorted(found, key=lambda record: record.offset)
 
     def call_when_advanced(self, callback: Callable[[], None]) -> None:
-        """Call back once when the position next moves."""
+        """Call back once, when the position next advances."""
         self._callbacks[callback] = None
 
     def remove_callback(self, callback: Callable[[], None]) -> None:
-        """Call back no more.
+        """Remove a callback.
 
-        Without it, each question that ended its wait in vain would stay in memory
-        until the table next changes.
+        Otherwise each request that times out would stay in memory until the table next
+        changes.
         """
         self._callbacks.pop(callback, None)
 
@@ -117,8 +117,8 @@
         try:
             self._on_change(record)
         except Exception:
-            # One record must not end what keeps all others current.
+            # A faulty record must not stop the task that updates all others.
             LOG.exception(
-                "a record was not taken",
+                "record could not be applied",
                 extra={"step": self.name, "peer": record.key[:MAX_LOGGED_KEY]},
             )
