--- a/src/ramppin/gateway/request/attempt.py
+++ b/src/ramppin/gateway/request/attempt.py
@@ -1,9 +1,8 @@
-"""One attempt of a request at one backend server.
+"""One attempt to send a request to a backend server.
 
-Sends the request, passes a successful answer on, and tells how the attempt ended.
-Owns the part of an answer that is not passed on yet; relies on
-:mod:`~.answerkind` for what an answer means and on the server's health for when
-it is unresponsive.
+Sends the request, forwards a successful answer, and returns how the attempt ended.
+Owns the part of an answer that has not been forwarded; relies on :mod:`~.answerkind` to
+classify answers and on the server's health to detect that it is unresponsive.
 """
 
 from __future__ import annotations
@@ -34,12 +33,12 @@
 from ramppin.gateway.request.servernotice import NO_NOTICE, ServerNotice, parse_notice
 
 MAX_BUFFERED_BYTES = 262_144
-"""Bytes of a whole answer that are kept before it is passed on in pieces: until then a
-failure can still be answered or tried again."""
+"""Maximum number of bytes of an answer that are buffered before it is forwarded in
+pieces. Until forwarding starts, a failure can be answered or the request retried."""
 
 RESPONSE_CHECK_S = 0.2
-"""Seconds between two checks of whether the server is unresponsive; a quarter of the
-time after which it is."""
+"""Interval in seconds at which the attempt checks whether the server is unresponsive: a
+quarter of the time after which it counts as such."""
 
 LOG = logging.getLogger(__name__)
 
@@ -47,22 +46,22 @@
 
 
 class Attempt(AnswerReceiver):
-    """Sends a request to one backend server and passes its answer on.
+    """Sends a request to one backend server and forwards its answer.
 
     Args:
-        names: names of headers.
+        names: configured header names.
         caller: the caller's connection.
-        request_id: the id that the answer must carry.
+        request_id: the request ID that the answer must have.
         state: the backend server.
         previous: the attempt whose stream this one continues, or None.
-        streams: whether pieces are passed on as they come.
-        resumable: whether only whole events are passed on.
-        may_take_over: returns whether another server could take the request over.
-        note_notice: takes what the server says of itself, as soon as its head is there.
+        streams: whether data is forwarded as it arrives.
+        resumable: whether only complete events are forwarded.
+        may_take_over: returns whether another server could take over the request.
+        note_notice: called with the server's notice when an answer's head arrives.
 
     Attributes:
-        answer_started: whether the caller has got a part of an answer, of this attempt or
-            of those before it.
+        answer_started: whether part of an answer was sent to the caller, by this
+            attempt or an earlier one.
 
     .. versionadded:: 0.2
     """
@@ -110,7 +109,7 @@
 
     @property
     def events(self) -> EventSplitter | None:
-        """Splits the stream into whole events; None if it can't be resumed."""
+        """Splitter of the stream into events; None if the stream can't be resumed."""
         return self._events
 
     async def run(
@@ -123,10 +122,10 @@
         """Send the request and wait until the attempt has ended.
 
         Args:
-            connection: to the backend server.
-            head: the encoded head.
+            connection: connection to the backend server.
+            head: the encoded request head.
             request: the caller's request.
-            ends_at: the loop's time at which to give up.
+            ends_at: event-loop time at which the attempt times out.
         """
         self._connection = connection
         self._received_at = self._loop.time()
@@ -148,7 +147,7 @@
                 self._check_timer.cancel()
 
     def cancel(self, end: AttemptEnd) -> None:
-        """Give the attempt up; the server sees its connection close."""
+        """Cancel the attempt and abort the connection to the server."""
         if self._connection is not None:
             self._connection.abort()
         self._state.health.note_unanswered(self._loop.time())
@@ -159,7 +158,7 @@
         """Pause or resume the server's answer."""
         if self._connection is None or self._result.done():
             return
-        # A server that is paused from here is not unresponsive.
+        # A server that this VM paused must not count as unresponsive.
         self._paused = paused
         self._note_received(due=not paused)
         if paused:
@@ -169,10 +168,10 @@
             self._state.waiting.note_sent(self, self._received_at)
             self._connection.resume()
 
-    # the connection's side
+    # called by the server's connection
 
     def accept_head(self, head: AnswerHead) -> bool:
-        """Take the head if it answers this request."""
+        """Process an answer's head; return whether it belongs to this request."""
         self._note_bytes(due=True)
         self._note_notice(head)
         found = find_header(head.headers, self._names.request_id)
@@ -187,7 +186,7 @@
         return True
 
     def accept_body(self, data: bytes) -> None:
-        """Pass a piece on, or keep it."""
+        """Forward or buffer part of the body."""
         if self._result.done():
             return
         self._note_bytes(due=True)
@@ -201,7 +200,7 @@
             self._start_forwarding()
 
     def accept_end(self) -> None:
-        """Pass the end of a whole answer on, or end the attempt without one."""
+        """Finish a complete answer, or end the attempt without success."""
         self._note_bytes(due=False)
         head, kind = self._head, self._kind
         if head is None or kind is None or self._result.done():
@@ -224,11 +223,11 @@
         self._finish(kind.end)
 
     def accept_failure(self, error: BrokenAnswerError) -> None:
-        """Take the failure of an answer that ended before it was whole."""
+        """Fail the attempt because its answer ended prematurely."""
         self._note_received(due=False)
         self._fail(error.message)
 
-    # passing the answer on
+    # forwarding the answer
 
     def _start_forwarding(self) -> None:
         head = self._head
@@ -253,10 +252,10 @@
         except ProtocolError as error:
             self._fail(error.message)
 
-    # ends
+    # end of the attempt
 
     def _end_without_success(self, head: AnswerHead, kind: AnswerKind) -> None:
-        """End the attempt with an answer that is not a success."""
+        """End the attempt after an answer that is not a success."""
         self._state.health.note_outcome(kind.outcome, self._loop.time())
         if kind is AnswerKind.UNSIGNED:
             self._finish(kind.end, kind.value)
@@ -295,11 +294,10 @@
     # the server's health and load
 
     def _check_unresponsive(self) -> None:
-        """Give a server up that is unresponsive or has started again.
+        """Fail the attempt if the server is unresponsive or has restarted.
 
-        Only if another can take over.
-
-        A lost answer must not cost a request that may be repeated its whole time.
+        Only if another server can take over. Otherwise a lost answer would use up the
+        whole time limit of a request that may be repeated.
         """
         if self._result.done():
             return
@@ -313,40 +311,40 @@
         )
 
     def _note_received(self, *, due: bool) -> None:
-        """Note bytes, or the end of what was awaited.
+        """Record that data arrived, or that none is expected any more.
 
         Args:
-            due: whether more of this answer is awaited.
+            due: whether more data of this answer is expected.
         """
         self._received_at = self._loop.time()
         awaited = due or self._state.in_flight > 1
         self._state.health.note_received(self._received_at, awaited=awaited)
 
     def _note_bytes(self, *, due: bool) -> None:
-        """Note bytes of the answer.
+        """Record that data of the answer arrived.
 
         Args:
-            due: whether more of this answer is awaited.
+            due: whether more data of this answer is expected.
         """
         self._note_received(due=due)
         self._state.waiting.note_bytes(self, self._received_at)
 
     def _note_notice(self, head: AnswerHead) -> None:
-        """Take what the server says of itself, in answers to other requests as well.
+        """Record the server's notice, even if the answer is to another request.
 
-        A late answer to another request comes from the same server.
+        A late answer to an earlier request comes from the same server.
         """
         self._notice = parse_notice(head, self._names)
         self._apply_notice(self._notice)
         if self._notice.unreadable:
             LOG.warning(
-                "a time of rest is neither seconds nor a date and is ignored: %.40r",
+                "Retry-After is neither seconds nor a date and is ignored: %.40r",
                 self._notice.unreadable,
                 extra={"peer": self._state.server.name, "step": "answer"},
             )
 
     def _note_load(self, headers: Headers) -> None:
-        """Take the load that an answer reports, ``RUNNING,WAITING,SLOTS``."""
+        """Record the load that an answer reports, ``RUNNING,WAITING,SLOTS``."""
         report = find_header(headers, self._names.load)
         if report is None:
             return
