--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -1,9 +1,9 @@
-"""One request of a caller, from its arrival to its final answer.
+"""Processing of one caller request from its arrival to its final answer.
 
-Carries out what is decided elsewhere: admission (:mod:`~.admission`), choice of
-the server (:mod:`ramppin.gateway.process.routing.selection`), sending again
-(:mod:`~.retry`), and the final answer (:mod:`~.finalanswer`). Owns the request's
-progress; the caller's connection and the process's parts are lent to it.
+Applies decisions made elsewhere: admission (:mod:`~.admission`), server selection
+(:mod:`ramppin.gateway.process.routing.selection`), retries (:mod:`~.retry`) and the
+final answer (:mod:`~.finalanswer`). Owns the request's progress, but neither the
+caller's connection nor the shared state of the process.
 """
 
 from __future__ import annotations
@@ -50,16 +50,16 @@
 from ramppin.gateway.request.upstreamhead import RequestHeadBuilder
 
 _REPLACED = frozenset({b"content-length", b"retry-after"})
-"""Headers of a relayed answer in whose place the gateway's own stand."""
+"""Headers of a relayed answer that the gateway replaces."""
 
 
 class Exchange:
     """One request and its answer.
 
     Args:
-        context: what all exchanges of the process share.
+        context: state shared by all exchanges of the process.
         connection: the caller's connection.
-        request: the request, whole.
+        request: the complete request.
 
     .. versionadded:: 0.2
     """
@@ -82,20 +82,20 @@
         self._request_id = request.find(context.names.request_id) or b""
         self._report = RequestReport(context, self._request_id, request.arrived)
 
-    # the caller's connection calls
+    # called by the caller's connection
 
     def disconnect(self) -> None:
-        """Give up: the caller is gone."""
+        """Cancel the exchange because the caller disconnected."""
         self._disconnected = True
         if self._attempt is not None:
             self._attempt.cancel(AttemptEnd.CALLER_DISCONNECTED)
 
     def set_paused(self, paused: bool) -> None:
-        """Pause or resume the answer's source."""
+        """Pause or resume reading the server's answer."""
         if self._attempt is not None:
             self._attempt.set_paused(paused)
 
-    # the request's course
+    # processing the request
 
     async def run(self) -> None:
         """Serve the request."""
@@ -116,21 +116,21 @@
             context.retry_budget.note_request(admitted.service, self._loop.time())
             await self._serve(admitted)
         except Exception:
-            # Whatever went wrong here, the caller must not wait for an answer.
+            # After an unexpected error the caller must not wait for an answer.
             self._connection.abort()
             raise
         finally:
             context.in_flight -= 1
 
     async def _wait_for_first_read(self) -> None:
-        """Wait while settings and servers are read for the first time."""
+        """Wait until settings and servers have been read for the first time."""
         wait_s = choose_first_read_wait_s(self._find_deadline_s())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
                 await self._context.first_read.wait()
 
     async def _wait_after_stall(self) -> None:
-        """Wait while this VM reads what it missed in a long stall."""
+        """Wait after a long stall until this VM has read the updates it missed."""
         pause_s = self._context.directory.stall_detector.measure_catch_up_s(
             self._loop.time()
         )
@@ -138,11 +138,11 @@
             await asyncio.sleep(pause_s)
 
     def _find_deadline_s(self) -> float | None:
-        """Return the time that the caller will wait, in seconds, if it says so."""
+        """Return the caller's deadline in seconds, or None if it sent none."""
         return parse_deadline(self._request.find(self._context.names.deadline_ms))
 
     def _measure_time_left_s(self) -> float | None:
-        """Return the time until the caller gives up, in seconds, if it is known."""
+        """Return the seconds until the caller's deadline, or None if it sent none."""
         deadline_s = self._find_deadline_s()
         if deadline_s is None:
             return None
@@ -166,8 +166,8 @@
         builder = RequestHeadBuilder(
             self._context.names, self._request, admission.route, admission.customer
         )
-        # What a request did to servers must outlast its exchange: one that ended each
-        # server that ran it was sent to the next, by this VM and by all others.
+        # Crashes are recorded beyond the exchange. Otherwise a request that crashes
+        # every server that runs it is sent to one server after another, by all VMs.
         watch = CrashWatch(self._context, admission.fingerprint)
         choice = ServerChoice(self._context, admission, watch)
         last: AttemptResult | None = None
@@ -199,10 +199,10 @@
                 self._end(admission, final, choice.closed)
                 return
 
-    # choosing and sending
+    # selection and sending
 
     def _select(self, choice: ServerChoice, watch: CrashWatch) -> Selection | Verdict:
-        """Return the server for the next attempt, or why there is none."""
+        """Return the server for the next attempt, or the verdict if there is none."""
         now = self._loop.time()
         verdict = judge_try(
             self._progress,
@@ -218,11 +218,11 @@
         builder: RequestHeadBuilder,
         choice: ServerChoice,
     ) -> AttemptResult:
-        """Make one attempt at the chosen server."""
+        """Make one attempt at the selected server."""
         state = selection.state
         self._progress.tries += 1
         self._last_server = state.server.name
-        # Counted before the connection is there: other requests must see it.
+        # Counted before connecting, so that other selections include this request.
         state.in_flight += 1
         started = self._loop.time()
         try:
@@ -231,7 +231,11 @@
                 return connection
             now = self._loop.time()
             is_late = self._disconnected or self._ends_at <= now
-            obstacle = "too late" if is_late else choice.find_obstacle(state, now)
+            obstacle = (
+                "caller disconnected or time limit expired"
+                if is_late
+                else choice.find_obstacle(state, now)
+            )
             if obstacle:
                 self._context.pool.release_unused(connection)
                 return AttemptResult(AttemptEnd.NOT_SENT, message=obstacle)
@@ -256,7 +260,7 @@
         choice: ServerChoice,
         connection: UpstreamConnection,
     ) -> AttemptResult:
-        """Send the request over a connection and pass its answer on."""
+        """Send the request over a connection and forward its answer."""
         now, state, route = self._loop.time(), selection.state, admission.route
         attempt = Attempt(
             self._context.names,
@@ -288,12 +292,12 @@
         if notice.backoff_s > 0:
             notices.note_backoff(state.id, notice.backoff_s, now)
 
-    # sending again
+    # retries
 
     def _judge_retry(
         self, admission: Admission, result: AttemptResult, watch: CrashWatch
     ) -> Verdict:
-        """Return whether another attempt may follow; count it in the budget."""
+        """Return whether the request may be retried; count a retry in the budget."""
         budget, now = self._context.retry_budget, self._loop.time()
         service = admission.service
         has_budget = budget.allows_retry(service, now)
@@ -322,12 +326,12 @@
             has_budget=self._context.retry_budget.allows_retry(admission.service, now),
         )
 
-    # ends
+    # final answer
 
     def _end(
         self, admission: Admission, final: FinalAnswer, closed: tuple[str, ...]
     ) -> None:
-        """End a request that no attempt has delivered."""
+        """End a request for which no attempt delivered an answer."""
         if self._disconnected:
             return
         now = self._loop.time()
@@ -344,7 +348,7 @@
         self._answer(final)
 
     def _answer(self, final: FinalAnswer) -> None:
-        """Give the caller the final answer at once."""
+        """Send the final answer to the caller, or abort its connection."""
         if final.ending is Ending.CUT:
             self._connection.abort()
             return
