--- a/src/ramppin/gateway/request/connecting.py
+++ b/src/ramppin/gateway/request/connecting.py
@@ -1,4 +1,4 @@
-"""Gets a connection to the server that was chosen, and notes what that shows of it."""
+"""Connects to the selected server and records failures in the server's health."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 async def connect(
     context: GatewayContext, route: Route, state: ServerState
 ) -> UpstreamConnection | AttemptResult:
-    """Return a connection, or the end of an attempt that got none.
+    """Return a connection, or the result of the attempt if connecting failed.
 
     Args:
-        context: what exchanges share.
+        context: state shared by all exchanges.
         route: the request's route.
         state: the server.
     """
@@ -36,9 +36,10 @@
 def _note_unreachable(
     context: GatewayContext, state: ServerState, *, is_refused: bool
 ) -> None:
-    """Note that no connection came up, unless that may be this process's doing.
+    """Record that connecting failed, unless a stall of this process may be the cause.
 
-    A process that stalled may not have read yet that it did.
+    After a stall, a time-out can fire before the process handles a connection that was
+    established in time.
     """
     now = asyncio.get_running_loop().time()
     if is_refused:
