--- a/src/ramppin/gateway/request/crashwatch.py
+++ b/src/ramppin/gateway/request/crashwatch.py
@@ -1,8 +1,8 @@
-"""What one request does to the servers that run it, and what is known of it before.
+"""Reports to the quarantine whether a request crashes servers.
 
-Tells the process's :class:`~ramppin.gateway.process.quarantine.quarantine.Quarantine`
-how the request's attempts ended, and asks it whether the request may be sent. Owns
-whether this copy is the one that is let through on trial.
+Records how the request's attempts ended in the process's
+:class:`~ramppin.gateway.process.quarantine.quarantine.Quarantine`, and checks there
+whether the request may be sent. Owns whether this copy was admitted as a trial.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 
 class CrashWatch:
-    """Watches the attempts of one request.
+    """Monitors the attempts of one request for server crashes.
 
     Args:
-        context: what exchanges share.
-        fingerprint: the request's.
+        context: state shared by all exchanges.
+        fingerprint: fingerprint of the request.
 
     .. versionadded:: 0.2
     """
@@ -32,8 +32,9 @@
     def may_try(self, now: float) -> bool:
         """Return whether the request may be sent to a server.
 
-        Asked before each attempt: other copies may have ended servers meanwhile. One
-        that is let through on trial may go on until it has met a server.
+        Checked before each attempt, since other copies may have crashed servers in the
+        meantime. A copy admitted as a trial may try servers until a termination is
+        recorded.
         """
         quarantine = self._context.quarantine
         last_end_at = quarantine.find_last_end_at(self._fingerprint)
@@ -44,27 +45,27 @@
         return self._admitted
 
     def may_end_another(self) -> bool:
-        """Return whether sending it again is likely to end one server more."""
+        """Return whether a retry is likely to crash another server."""
         quarantine = self._context.quarantine
         return quarantine.may_end_another(self._fingerprint, self._lost_servers)
 
     def is_suspect(self) -> bool:
-        """Return whether servers ended, or may have, since it last ran well."""
+        """Return whether a server may have terminated since the last successful run."""
         return self._context.quarantine.is_suspect(self._fingerprint)
 
     def note_attempt(
         self, state: ServerState, result: AttemptResult, sent_at: float, now: float
     ) -> None:
-        """Take how an attempt ended.
+        """Record how an attempt ended.
 
-        Any whole answer, a failure as well, shows that the server outlived the request.
-        A server that was told to leave ends as planned, so nothing is concluded.
+        Any complete answer, even an error, shows that the server survived the request.
+        A leaving server terminates as planned, so its loss is not recorded.
 
         Args:
             state: the server.
-            result: what became of the attempt.
-            sent_at: the loop's time at which it was sent.
-            now: the loop's time.
+            result: result of the attempt.
+            sent_at: event-loop time at which the attempt started.
+            now: current event-loop time.
         """
         quarantine = self._context.quarantine
         was_run = result.end is AttemptEnd.FAILED and result.answer is not None
