--- a/src/ramppin/gateway/request/events.py
+++ b/src/ramppin/gateway/request/events.py
@@ -1,7 +1,7 @@
-"""Whole events of a stream (``text/event-stream``), with the last event's id.
+"""Splits a stream (``text/event-stream``) into events and extracts the last event ID.
 
-A stream that may be continued by another server is passed on in whole events, so
-that the continuation begins where the caller's last event ended. No I/O.
+A stream that another server may resume is forwarded in complete events, so that the
+continuation starts after the last event that the caller received. No I/O.
 """
 
 from __future__ import annotations
@@ -9,16 +9,16 @@
 from ramppin.errors import ProtocolError
 
 EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
-"""Blank lines; a server ends its lines in one of two ways."""
+"""Blank lines that end an event, for the two line endings that servers use."""
 
 ID_FIELD = b"id:"
 MAX_EVENT_BYTES = 1_048_576
-"""Bytes of one event past which a stream is broken: a bound on memory, far above any
-event of the sites played."""
+"""Maximum size of an event, which bounds memory: far larger than any event of the
+simulated sites. A stream with a larger event fails."""
 
 
 class EventSplitter:
-    """Buffers a partial event, so that another server can continue after the last.
+    """Buffers a partial event, so that another server can resume after the last one.
 
     .. versionadded:: 0.2
     """
@@ -29,28 +29,28 @@
 
     @property
     def partial(self) -> bytes:
-        """Bytes of an event that has not ended."""
+        """Bytes of an event that is not complete yet."""
         return self._partial
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events received so far; keep the remainder.
+        """Return the events completed by new data; buffer the remainder.
 
         Raises:
-            ProtocolError: an event is larger than any real one.
+            ProtocolError: a partial event is larger than :data:`MAX_EVENT_BYTES`.
         """
         buffered = self._partial + data if self._partial else data
         end = max(_find_end(buffered, mark) for mark in EVENT_ENDS)
         if end < 0:
             self._partial = buffered
             if len(buffered) > MAX_EVENT_BYTES:
-                raise ProtocolError("an event does not end", step="stream")
+                raise ProtocolError("an event is too large", step="stream")
             return b""
         whole, self._partial = buffered[:end], buffered[end:]
         self._note_last_id(whole)
         return whole
 
     def drop_partial(self) -> None:
-        """Forget a partial event: it will come again from its start."""
+        """Discard a partial event: the next attempt sends it again from its start."""
         self._partial = b""
 
     def _note_last_id(self, whole: bytes) -> None:
@@ -63,6 +63,6 @@
 
 
 def _find_end(data: bytes, mark: bytes) -> int:
-    """Return where the last whole event ends, or -1."""
+    """Return the end offset of the last complete event, or -1."""
     start = data.rfind(mark)
     return start + len(mark) if start >= 0 else -1
