--- a/src/ramppin/gateway/request/fingerprint.py
+++ b/src/ramppin/gateway/request/fingerprint.py
@@ -1,9 +1,9 @@
-"""What makes two requests the same one, sent again.
+"""Computes fingerprints by which a request that is sent again is recognised.
 
-A caller that sends a request again gives it a new id, so the id says nothing. The same
-are requests of one customer with one method, host, target and body. Headers do not
-count: deadlines, the point at which a stream is resumed and the named parts of a prompt
-differ from one time to the next. Pure.
+A caller that sends a request again gives it a new request ID, so the ID can't be used.
+Requests are the same if customer, method, host, target and body are equal. Headers are
+not included: the deadline, the resume position of a stream and the prompt parts differ
+between copies. Pure.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 _SHOWN = re.compile(r"[0-9a-f]{16}")
 
 SEPARATOR = b"\0"
-"""Stands between the parts; none of them can hold it."""
+"""Separates the hashed parts; none of them can contain it."""
 
 
 def hash_request(request: CallerRequest, customer: Customer | None) -> int:
-    """Return the fingerprint of a request, the same at every VM.
+    """Return the fingerprint of a request, which is the same on every VM.
 
-    Not seeded, since VMs tell each other fingerprints.
+    The hash has no random seed, since VMs exchange fingerprints.
 
     Args:
-        request: the request, whole.
-        customer: that owns its key; None on a public route.
+        request: the complete request.
+        customer: the customer that owns the API key; None on a public route.
     """
     host = request.find(b"host") or b""
     name = customer.name if customer else ""
@@ -39,10 +39,10 @@
 
 
 def parse_fingerprint(text: str) -> int | None:
-    """Return the fingerprint that lines show as a text; None if it is none."""
+    """Return the fingerprint for 16 lower-case hex digits; None for any other text."""
     return int(text, 16) if _SHOWN.fullmatch(text) else None
 
 
 def format_fingerprint(fingerprint: int) -> str:
-    """Return a fingerprint as lines and operators write it: 16 hex digits."""
+    """Return a fingerprint as 16 hex digits, as in log lines and commands."""
     return f"{fingerprint:016x}"
