--- a/src/ramppin/gateway/request/promptkey.py
+++ b/src/ramppin/gateway/request/promptkey.py
@@ -1,4 +1,4 @@
-"""The key by which prompts that share a prefix go to one backend server."""
+"""Computes the key that routes prompts with a shared prefix to one backend server."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 def hash_prefix(parts: bytes) -> int | None:
-    """Return the hash of the longest shared prefix that a prompt names.
+    """Return the hash of the longest shared prefix of a prompt.
 
     Args:
-        parts: ``ID:TOKENS`` joined by commas, in the prompt's order. The last
-            part is the request's own; the one before it is what requests about
-            one subject share.
+        parts: ``ID:TOKENS`` joined by commas, in the prompt's order. The last part is
+            specific to the request; the one before it is shared by requests about the
+            same subject.
 
     Returns:
-        The key, or None if nothing is named.
+        The key, or None if no part is given.
     """
     ids = [part.partition(b":")[0].strip() for part in parts.split(b",")]
     if not ids or not ids[0]:
