--- a/src/ramppin/gateway/request/report.py
+++ b/src/ramppin/gateway/request/report.py
@@ -1,6 +1,6 @@
-"""What a gateway writes about one request: lines, explanations, counts.
+"""Log lines, explanations and metrics of one request.
 
-Fields and events of the lines are an interface of operators
+Fields and events of the log lines are a documented interface for operators
 (docs/OPERATIONS.md, features/interfaces).
 """
 
@@ -17,18 +17,18 @@
 from ramppin.gateway.request.retry import Progress, Verdict
 
 MAX_REPORT_AGE_S = 999.0
-"""Seconds that stand for a load report that never came, in log lines."""
+"""Age in seconds that log lines show for a load report that was never received."""
 
 LOG = logging.getLogger(__name__)
 
 
 class RequestReport:
-    """Writes what is decided about one request.
+    """Reports the decisions about one request.
 
     Args:
-        context: where lines, explanations and counts go.
-        request_id: the request's id, or empty.
-        arrived: the loop's time at which the request was whole.
+        context: destination of log lines, explanations and metrics.
+        request_id: the request ID, or empty.
+        arrived: event-loop time at which the request was complete.
 
     .. versionadded:: 0.2
     """
@@ -41,7 +41,7 @@
         self._arrived = arrived
 
     def note_denied(self, denial: Denial) -> None:
-        """Write that the request was refused before a server was chosen."""
+        """Log that the request was refused before a server was selected."""
         self._context.decisions.note(
             "denied",
             request_id=self._request_id,
@@ -51,7 +51,7 @@
         )
 
     def note_ignored_deadline(self, value: bytes) -> None:
-        """Write that the caller's deadline is not a number; the route's holds."""
+        """Log that the caller's deadline is not a number and the route's applies."""
         LOG.warning(
             "a caller's deadline is not a number, the route's time limit holds: %.40r",
             value,
@@ -66,15 +66,15 @@
         now: float,
         verdict: Verdict | None = None,
     ) -> None:
-        """Write and count what became of one attempt.
+        """Log and count the result of an attempt.
 
         Args:
-            admission: of the request.
-            selection: the server that was tried, and why.
-            result: what became of it.
-            now: the loop's time.
-            verdict: the rule that allowed or forbade another attempt; None if it was
-                delivered or its caller left.
+            admission: result of the request's admission.
+            selection: the server that was tried and the reasons for its selection.
+            result: result of the attempt.
+            now: current event-loop time.
+            verdict: the rule that allowed or forbade a retry; None if the answer was
+                delivered or the caller disconnected.
         """
         fields: dict[str, object] = {
             "request_id": self._request_id,
@@ -120,16 +120,16 @@
         time_left_s: float,
         now: float,
     ) -> None:
-        """Write how a request ended that no attempt delivered, and by which rule.
+        """Log the final answer to a request for which no attempt delivered one.
 
         Args:
-            admission: of the request.
-            progress: how far it had come.
-            final: how it is ended.
+            admission: result of the request's admission.
+            progress: progress of the request.
+            final: the final answer.
             server: the last server tried, or empty.
-            closed: servers that were closed at the last choice, as ``REASON:ID``.
-            time_left_s: time until it would have been given up in any case.
-            now: the loop's time.
+            closed: servers that were closed at the last selection, as ``REASON:ID``.
+            time_left_s: seconds until the request's time limit.
+            now: current event-loop time.
         """
         context = self._context
         fields: dict[str, object] = {
@@ -154,7 +154,7 @@
         context.explanations.add(self._request_id, fields)
 
     def count_request(self, service: str, status: int) -> None:
-        """Count a request that has ended; status 0 if its caller disconnected."""
+        """Count a finished request; status 0 if its caller disconnected."""
         self._context.metrics.requests.inc(service, str(status))
 
     def count_refused_retry(self, service: str) -> None:
@@ -162,7 +162,7 @@
         self._context.metrics.retries_refused.inc(service)
 
     def _measure_first_ms(self, result: AttemptResult) -> int | None:
-        """Return the time from arrival to the first byte of the answer."""
+        """Return the milliseconds from arrival to the first byte of the answer."""
         if result.first_byte_at is None:
             return None
         return round((result.first_byte_at - self._arrived) * 1000)
@@ -180,7 +180,7 @@
 
 
 def _format_prefix(key: int | None) -> str:
-    """Return the key of a prompt's prefix as hex digits; empty if there is none."""
+    """Return a prefix key as 16 hex digits, or an empty string for None."""
     return "" if key is None else f"{key:016x}"
 
 
