--- a/src/ramppin/gateway/request/responder.py
+++ b/src/ramppin/gateway/request/responder.py
@@ -1,7 +1,7 @@
-"""Runs the requests of one caller's connection, each as an exchange of its own.
+"""Runs an exchange for each request on a caller's connection.
 
-Relies on the connection, which hands over one request at a time, and on
-:mod:`~.exchange`, which serves it. Owns the exchange that runs now.
+Relies on the connection to deliver one request at a time, and on :mod:`~.exchange` to
+serve it. Owns the current exchange.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 class ExchangeResponder(Responder):
-    """Runs the exchanges of one caller's connection, one after the other.
+    """Runs the exchanges of one caller's connection sequentially.
 
     Args:
-        context: what all exchanges of the process share.
+        context: state shared by all exchanges of the process.
         connection: the caller's connection.
 
     .. versionadded:: 0.2
@@ -30,7 +30,7 @@
         self._exchange: Exchange | None = None
 
     def accept_request(self, request: CallerRequest) -> None:
-        """Start an exchange."""
+        """Start an exchange for the request."""
         exchange = Exchange(self._context, self._connection, request)
         self._exchange = exchange
         task = asyncio.get_running_loop().create_task(exchange.run())
@@ -38,11 +38,11 @@
         task.add_done_callback(self._context.finish_task)
 
     def accept_disconnect(self) -> None:
-        """Give the exchange up."""
+        """Cancel the current exchange."""
         if self._exchange is not None:
             self._exchange.disconnect()
 
     def accept_backpressure(self, *, paused: bool) -> None:
-        """Pause the answer's source, or let it go on."""
+        """Pause or resume reading the server's answer."""
         if self._exchange is not None:
             self._exchange.set_paused(paused)
