--- a/src/ramppin/gateway/request/result.py
+++ b/src/ramppin/gateway/request/result.py
@@ -1,4 +1,4 @@
-"""What became of one attempt of a request; the rules of :mod:`retry` read it."""
+"""Result of one attempt, which is the input to the rules in :mod:`~.retry`."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
     """How an attempt ended; the value is the field ``end`` of its log line."""
 
     DELIVERED = "delivered"
-    """The caller has the whole answer."""
+    """The complete answer was sent to the caller."""
 
     REJECTED = "rejected"
-    """The server says that it did not run the request."""
+    """The server stated that it did not run the request."""
 
     FAILED = "failed"
-    """The server answered with a failure, or its answer ended early."""
+    """The server answered with an error, or its answer was incomplete."""
 
     NOT_SENT = "not sent"
-    """No byte of the request left for the server."""
+    """No byte of the request was sent to the server."""
 
     TIMED_OUT = "timed out"
-    """The request's time was over before the answer was."""
+    """The request's time limit expired before the answer was complete."""
 
     CALLER_DISCONNECTED = "caller left"
     """The caller closed its connection."""
@@ -33,18 +33,18 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """What became of an attempt.
+    """Result of an attempt.
 
     Attributes:
-        end: how it ended.
-        status: the server's HTTP status; 0 if there was none.
-        answer: head and body of a whole answer that was not passed on.
-        last_event_id: the last event that the caller got, or None.
-        message: what was wrong, for the log.
-        first_byte_at: the loop's time at which the caller got the first byte.
-        lost: whether the connection ended before the answer did, or the server is
-            known to have ended.
-        notice: what the server said of itself.
+        end: how the attempt ended.
+        status: HTTP status of the server's answer; 0 if there was none.
+        answer: head and body of a complete answer that was not forwarded.
+        last_event_id: ID of the last event sent to the caller, or None.
+        message: description of the failure, for the log.
+        first_byte_at: event-loop time at which the first byte was sent to the caller.
+        lost: whether the connection was lost before the answer was complete, or the
+            server is known to have terminated.
+        notice: the server's notice about itself.
     """
 
     end: AttemptEnd
