--- a/src/ramppin/gateway/request/upstreamhead.py
+++ b/src/ramppin/gateway/request/upstreamhead.py
@@ -1,6 +1,6 @@
-"""The head of a request as a backend server gets it.
+"""Builds the head of a request to a backend server.
 
-Built once for a request and completed for each attempt. No I/O.
+The common headers are built once per request, the others for each attempt. No I/O.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from ramppin.gateway.version.routing import Customer, Route
 
 MAX_PRIORITY = 9
-"""The least urgent priority that a backend server takes; 0 is the most urgent."""
+"""The least urgent priority that backend servers accept; 0 is the most urgent."""
 
 PRIORITIES_PER_CUSTOMER_RANK = 3
-"""Priorities of one rank of customers: the customer's rank comes first, the route's
-decides among those of equal rank."""
+"""Number of priorities for each customer rank: requests are ordered by the rank of the
+customer first, then by the priority of the route."""
 
 _FRAMING = frozenset({b"content-length", b"expect"})
-"""Headers of the caller's connection that the request to a server has anew."""
+"""Headers that belong to the caller's connection and are not forwarded."""
 
 
 class RequestHeadBuilder:
-    """Builds the heads of a request's attempts.
+    """Builds the request heads for the attempts of a request.
 
     Args:
-        names: names of headers.
-        request: as the caller sent it.
-        route: its route.
-        customer: the customer that owns its key, or None.
+        names: configured header names.
+        request: the caller's request.
+        route: the request's route.
+        customer: the customer that owns the API key, or None.
 
     .. versionadded:: 0.2
     """
@@ -65,7 +65,7 @@
             self._headers.append((names.priority, value))
 
     def resume_after(self, last_event_id: bytes) -> None:
-        """Let the next attempt continue after an event."""
+        """Set the event after which the next attempt resumes the stream."""
         name = self._names.last_event_id
         self._headers = [pair for pair in self._headers if pair[0].lower() != name]
         self._headers.append((name, last_event_id))
@@ -76,9 +76,9 @@
         """Return the encoded head for one server.
 
         Args:
-            server_name: of the backend server that alone may run the request.
-            time_left_s: time until the request is given up.
-            source: another server that has the prompt's prefix, or None.
+            server_name: name of the only backend server that may run the request.
+            time_left_s: seconds until the request's time limit.
+            source: another server that has cached the prompt's prefix, or None.
         """
         headers: Headers = [
             *self._headers,
