--- a/src/ramppin/gateway/request/__init__.py
+++ b/src/ramppin/gateway/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a request: admission, attempts, the exchange with its caller."""
+"""Processing of one request: admission, attempts and the exchange with its caller."""
