--- a/bench/vms/crashes.py
+++ b/bench/vms/crashes.py
@@ -173,7 +173,7 @@
             quarantine.note_server_ended(copy.server)
             copy.lost_at.add(copy.server)
             may_retry = len(copy.lost_at) < MAX_ATTEMPTS
-            if may_retry and not quarantine.may_end_another(REQUEST, copy.lost_at):
+            if may_retry and not quarantine.may_crash_another(REQUEST, copy.lost_at):
                 self._send(copy)
 
     def _end_server(self, server: str) -> None:
--- a/features/steps/gateway_server_rule_steps.py
+++ b/features/steps/gateway_server_rule_steps.py
@@ -191,7 +191,7 @@
     'a server with the failures "{told}" of {rate:g} requests/s is passed over: {bad}'
 )
 def step_evidence(context, told, rate, bad):
-    found = build_evidence(told.replace("none", "")).is_bad("a", rate, NOW)
+    found = build_evidence(told.replace("none", "")).is_failing("a", rate, NOW)
     assert found is is_yes(bad), found
 
 
@@ -210,7 +210,7 @@
         state.health.note_outcome(Outcome.FAILED, NOW)
     found = FailureGossip(directory, "a").collect(NOW)
     assert len(found) == told, found
-    assert [state.evidence.is_bad("a", 0.1, NOW) for state in directory] == (
+    assert [state.evidence.is_failing("a", 0.1, NOW) for state in directory] == (
         [False] * count
     )
 
@@ -240,7 +240,7 @@
     directory = build_directory("1 1 1 1")
     news = FailureGossip(directory, "a")
     news.apply([FailureHint(server, 5)], "a", NOW)
-    assert directory.find(server).evidence.is_bad("a", 1.0, NOW)
+    assert directory.find(server).evidence.is_failing("a", 1.0, NOW)
     assert not news.collect(NOW + 0.1)
 
 
--- a/features/steps/platform_restart_steps.py
+++ b/features/steps/platform_restart_steps.py
@@ -71,7 +71,7 @@
     assert directory.list_open("llm") == [new]
     assert new.find_known_load(NOW) == 0
     assert not new.health.is_suspect(NOW)
-    assert not new.evidence.is_bad("porto", 1.0, NOW)
+    assert not new.evidence.is_failing("porto", 1.0, NOW)
     assert homes.find(7) is None
     assert directory.find_copy_source(homes.find_any(7), NOW) is None
     assert old.restarted
@@ -89,7 +89,7 @@
     FailureGossip(directory, "porto").apply([FailureHint(old_id, 9)], "porto", NOW)
     context.homes.apply_announcement(HomeAnnouncement(7, old_id, 1.0), NOW)
     assert context.new.find_known_load(NOW) == 0
-    assert not context.new.evidence.is_bad("porto", 1.0, NOW)
+    assert not context.new.evidence.is_failing("porto", 1.0, NOW)
     assert context.homes.find(7) is None
 
 
--- a/features/steps/quarantine_rule_steps.py
+++ b/features/steps/quarantine_rule_steps.py
@@ -46,7 +46,7 @@
 
 @then('the copy that was lost at "{own}" is {state} again')
 def step_send_again(context, own, state):
-    found = context.quarantine.may_end_another(REQUEST, own.split())
+    found = context.quarantine.may_crash_another(REQUEST, own.split())
     assert found == (state == "not sent")
 
 
--- a/src/ramppin/gateway/process/membership/evidence.py
+++ b/src/ramppin/gateway/process/membership/evidence.py
@@ -51,7 +51,7 @@
         self._decay(now)
         self._failures[domain] = self._failures.get(domain, 0.0) + count
 
-    def is_bad(self, own_domain: str, requests_per_s: float, now: float) -> bool:
+    def is_failing(self, own_domain: str, requests_per_s: float, now: float) -> bool:
         """Return whether other servers should be preferred.
 
         Args:
--- a/src/ramppin/gateway/process/operations.py
+++ b/src/ramppin/gateway/process/operations.py
@@ -101,15 +101,15 @@
             "failure_domain": state.server.failure_domain,
             "open": self._context.directory.accepts_new_requests(state),
             "closed": closure.reason.value if closure else "",
-            "opens_s": None if opens_at is None else _shorten(opens_at - now),
+            "opens_s": None if opens_at is None else _round_s(opens_at - now),
             "in_flight": state.in_flight,
             "load": state.find_known_load(now),
-            "report_age_s": _shorten(state.load.measure_age(now)),
+            "report_age_s": _round_s(state.load.measure_age(now)),
             "failure_rate": round(state.health.failure_rate, 2),
             # Public name of the suspect state, kept for operators' tools.
             "aside": state.health.is_suspect(now),
-            "shedding_s": _shorten(state.shedding.measure_backoff_s(now)),
-            "cold_s": _shorten(state.coldness.measure_remaining_s(now)),
+            "shedding_s": _round_s(state.shedding.measure_backoff_s(now)),
+            "cold_s": _round_s(state.coldness.measure_remaining_s(now)),
         }
 
     def clear(self, fingerprint: int, now: float) -> bool:
@@ -125,7 +125,7 @@
                 "fingerprint": format_fingerprint(fingerprint),
                 "ends": len(record.ends),
                 "counted": record.count_ends(),
-                "refused_s": _shorten(record.measure_remaining_refusal_s(now)),
+                "refused_s": _round_s(record.measure_remaining_refusal_s(now)),
                 "last_end_age_s": _measure_age(now, record.last_end_at),
                 "was_served": record.was_served,
             }
@@ -230,8 +230,8 @@
 
 
 def _measure_age(now: float, moment: float) -> float:
-    return _shorten(now - moment)
+    return _round_s(now - moment)
 
 
-def _shorten(seconds: float) -> float:
+def _round_s(seconds: float) -> float:
     return round(min(NEVER_S, seconds), 2)
--- a/src/ramppin/gateway/process/quarantine/quarantine.py
+++ b/src/ramppin/gateway/process/quarantine/quarantine.py
@@ -162,7 +162,7 @@
         self._note_change(ChangeKind.TRIED, fingerprint, record)
         return True
 
-    def may_end_another(self, fingerprint: int, own: Collection[str] = ()) -> bool:
+    def may_crash_another(self, fingerprint: int, own: Collection[str] = ()) -> bool:
         """Return whether a retry of a copy is likely to crash another server.
 
         Stricter than :meth:`admit`, because a lost copy would be retried at once: a
--- a/src/ramppin/gateway/process/routing/eligibility.py
+++ b/src/ramppin/gateway/process/routing/eligibility.py
@@ -67,7 +67,9 @@
     """
     share = requests_per_s / max(1, len(states))
     bad = frozenset(
-        state.id for state in states if state.evidence.is_bad(own_domain, share, now)
+        state.id
+        for state in states
+        if state.evidence.is_failing(own_domain, share, now)
     )
     return bad if len(bad) <= MAX_EXCLUDED_SHARE * len(states) else frozenset()
 
--- a/src/ramppin/gateway/request/crashwatch.py
+++ b/src/ramppin/gateway/request/crashwatch.py
@@ -44,10 +44,10 @@
         self._admitted = quarantine.admit(self._fingerprint, now)
         return self._admitted
 
-    def may_end_another(self) -> bool:
+    def may_crash_another(self) -> bool:
         """Return whether a retry is likely to crash another server."""
         quarantine = self._context.quarantine
-        return quarantine.may_end_another(self._fingerprint, self._lost_servers)
+        return quarantine.may_crash_another(self._fingerprint, self._lost_servers)
 
     def is_suspect(self) -> bool:
         """Return whether a server may have terminated since the last successful run."""
--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -306,7 +306,7 @@
             self._progress,
             result.end,
             has_budget=has_budget,
-            crashes_servers=result.lost and watch.may_end_another(),
+            crashes_servers=result.lost and watch.may_crash_another(),
         )
         if verdict is Verdict.BUDGET_SPENT:
             self._report.count_refused_retry(service)
