--- a/src/ramppin/gateway/process/quarantine/gossip.py
+++ b/src/ramppin/gateway/process/quarantine/gossip.py
@@ -23,8 +23,8 @@
 receive it directly (1 - 0.6**4)."""
 
 SUSPECTS_PER_MESSAGE = 6
-"""Maximum requests in one message, 110 bytes each with three terminations, so that a
-message with homes still fits one datagram."""
+"""Maximum requests in one message, 110 bytes each with three terminations, so that the
+datagram is not fragmented with the homes."""
 
 MESSAGES_PER_REPLY = 4
 """Maximum messages in the reply to a VM with a different digest."""
--- a/src/ramppin/gateway/process/quarantine/record.py
+++ b/src/ramppin/gateway/process/quarantine/record.py
@@ -59,9 +59,9 @@
     Attributes:
         ends: terminations since the last successful run, by the server's id.
         cleared: ids of servers whose terminations no longer count, the newest last.
-            Times reported by other VMs can't decide this, because they are wrong by
-            the time a message stayed unread: a suspended process would refuse a
-            request that has succeeded since.
+            Times reported by other VMs are not used for this, because they are wrong
+            by the time a message stayed unread: a process that had been suspended
+            refused a request that had succeeded.
         served_at: event-loop time of the last successful run.
         was_served: whether it is known to have succeeded before.
         tried_at: event-loop time at which a copy was last let through as a trial.
--- a/src/ramppin/gateway/process/routing/noticegossip.py
+++ b/src/ramppin/gateway/process/routing/noticegossip.py
@@ -23,8 +23,8 @@
 datagrams lost, 0.87 of the VMs receive it directly (1 - 0.6**4)."""
 
 SERVERS_PER_MESSAGE = 12
-"""Maximum servers in one message: 300 bytes, so that a message with homes still fits
-one datagram."""
+"""Maximum servers in one message: 300 bytes, so that the datagram is not fragmented
+with the homes."""
 
 REBROADCAST_PERIOD_S = 1.0
 """Seconds after which all leaving notices are sent again with the next message, at the
