--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -22,8 +22,8 @@
     Outcome,
     ServerHealth,
 )
+from ramppin.gateway.process.recovery.removalhold import find_hold_end
 from ramppin.gateway.process.recovery.replica import Record, Replica
-from ramppin.gateway.process.recovery.vanished import find_hold_end
 from ramppin.gateway.process.routing.directory import ServerDirectory
 from ramppin.gateway.process.routing.eligibility import (
     list_eligible,
--- a/src/ramppin/gateway/process/recovery/vanished.py
+++ b/src/ramppin/gateway/process/recovery/removalhold.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-LAPSE_HOLD_S = 2.2
+REMOVAL_HOLD_S = 2.2
 """Seconds after the log's return for which vanished entries are held. They are back
 within two seconds, by the platform's word; the rest is one read of the table."""
 
@@ -30,6 +30,6 @@
         The loop's time, or None if the log was not away of late.
     """
     if not reachable:
-        return now + LAPSE_HOLD_S
-    end = regained_at + LAPSE_HOLD_S
+        return now + REMOVAL_HOLD_S
+    end = regained_at + REMOVAL_HOLD_S
     return end if now < end else None
--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -32,13 +32,13 @@
 from ramppin.gateway.process.recovery.recordapplier import RecordApplier
 from ramppin.gateway.process.recovery.relayrules import RelayTimes
 from ramppin.gateway.process.recovery.relays import RelayedSource, RelaySelector
+from ramppin.gateway.process.recovery.removalhold import find_hold_end
 from ramppin.gateway.process.recovery.replica import Record, Replica
 from ramppin.gateway.process.recovery.sources import (
     RecordDecoder,
     RecordLog,
     RecordSource,
 )
-from ramppin.gateway.process.recovery.vanished import find_hold_end
 from ramppin.gateway.process.routing.homes import PrefixHomes
 from ramppin.gateway.process.routing.homesnapshot import HomeSnapshots
 
