--- a/src/ramppin/gateway/process/recovery/logmonitor.py
+++ b/src/ramppin/gateway/process/recovery/logmonitor.py
@@ -21,11 +21,11 @@
 )
 from ramppin.gateway.process.reporting.metrics import CounterTally
 
-FAILURES_THAT_COUNT = 2
+FAILURES_UNTIL_DOWN = 2
 """Calls in a row that must fail before the log counts as down: one connection may
 break while the log serves on, and every change of relays costs a call of each VM."""
 
-DOWN_TRUST_S = 10.0
+DOWN_EXPIRY_S = 10.0
 """Seconds after the last failure for which the log counts as down: a VM that no longer
 calls it would never learn of its return."""
 
@@ -33,8 +33,8 @@
 class LogCall(Enum):
     """What a call to the log is for; the value is its label."""
 
-    WHOLE = "whole table"
-    NEWS = "news"
+    FULL_TABLE = "whole table"
+    NEW_RECORDS = "news"
     APPEND = "append"
 
 
@@ -58,9 +58,9 @@
 
     def is_up(self, now: float) -> bool:
         """Return whether the log served this VM's last calls."""
-        if self._failures < FAILURES_THAT_COUNT:
+        if self._failures < FAILURES_UNTIL_DOWN:
             return True
-        return now - self._failed_at > DOWN_TRUST_S
+        return now - self._failed_at > DOWN_EXPIRY_S
 
     def failed_within(self, duration_s: float, now: float) -> bool:
         """Return whether the last call failed, not longer ago than that."""
@@ -113,12 +113,12 @@
 
     async def read_newest(self, *, timeout_s: float) -> RecordBatch:
         """Return the newest record of each key."""
-        with self._monitor.watch(self._table, LogCall.WHOLE):
+        with self._monitor.watch(self._table, LogCall.FULL_TABLE):
             return await self._source.read_newest(timeout_s=timeout_s)
 
     async def read_after(self, position: int, *, wait_s: float) -> RecordBatch:
         """Return what follows a position; wait for it if there is nothing."""
-        with self._monitor.watch(self._table, LogCall.NEWS):
+        with self._monitor.watch(self._table, LogCall.NEW_RECORDS):
             return await self._source.read_after(position, wait_s=wait_s)
 
 
