--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -155,7 +155,7 @@
 )
 def step_waited(context, records, took, waited):
     found = (Record("a", b"", 0),) if records == "one" else ()
-    batch = RecordBatch(found, 1).note_wait(1.0, took)
+    batch = RecordBatch(found, 1).with_wait(1.0, took)
     assert batch.waited_s == waited, batch
 
 
--- a/src/ramppin/gateway/process/recovery/relays.py
+++ b/src/ramppin/gateway/process/recovery/relays.py
@@ -124,7 +124,7 @@
         loop = asyncio.get_running_loop()
         asked_at = loop.time()
         batch = await self._direct.read_after(position, wait_s=wait_s)
-        batch = batch.note_wait(wait_s, loop.time() - asked_at)
+        batch = batch.with_wait(wait_s, loop.time() - asked_at)
         self._known_at = asked_at + batch.waited_s
         self._after_stale_update = False
         return batch
@@ -175,7 +175,7 @@
         age_s = state.age_ms / 1000
         records = tuple(Record(r.key, r.value, r.offset) for r in state.records)
         batch = RecordBatch(records, state.position, age_s, relayed=True)
-        batch = batch.note_wait(wait_s, loop.time() - asked_at)
+        batch = batch.with_wait(wait_s, loop.time() - asked_at)
         # An answer with records may have been built at any time since the request.
         self._known_at = asked_at + batch.waited_s - age_s
         return batch
--- a/src/ramppin/gateway/process/recovery/sources.py
+++ b/src/ramppin/gateway/process/recovery/sources.py
@@ -32,7 +32,7 @@
     relayed: bool = False
     waited_s: float = 0.0
 
-    def note_wait(self, wait_s: float, took_s: float) -> RecordBatch:
+    def with_wait(self, wait_s: float, took_s: float) -> RecordBatch:
         """Return the batch with the time for which it waited in vain.
 
         An answer without records after the whole wait says that there was no news
