--- a/src/ramppin/gateway/process/recovery/peeranswers.py
+++ b/src/ramppin/gateway/process/recovery/peeranswers.py
@@ -28,7 +28,7 @@
 MAX_WAIT_MS = 20_000
 """Longest wait of one question, in milliseconds; above any that a VM asks for."""
 
-NEVER_MS = 1_000_000_000
+UNKNOWN_AGE_MS = 1_000_000_000
 """Milliseconds that stand for an age without bound."""
 
 
@@ -59,7 +59,7 @@
             LOG.warning("unreadable question: %s", error, extra={"step": "records"})
             self._connection.send_answer(400, [], b"")
             return
-        if question.wait_ms > 0 and not self._has_news(question):
+        if question.wait_ms > 0 and not self._has_new_records(question):
             self._wait(question)
         else:
             self._connection.send_answer(200, [], self._build_answer(question))
@@ -70,7 +70,7 @@
     def accept_backpressure(self, *, paused: bool) -> None:
         """Answers here are small."""
 
-    def _has_news(self, question: PeerQuestion) -> bool:
+    def _has_new_records(self, question: PeerQuestion) -> bool:
         for name, position in question.positions.items():
             replica = self._replicas.get(name)
             if replica is not None and replica.position > position:
@@ -95,7 +95,7 @@
             # Later in the loop: the records are applied by then.
             loop.call_soon(answer)
 
-        def answer_in_vain() -> None:
+        def answer_on_timeout() -> None:
             stop_waiting()
             answer()
 
@@ -105,7 +105,7 @@
                 replica.remove_callback(answer_soon)
 
         wait_s = min(question.wait_ms, MAX_WAIT_MS) / 1000
-        timer = loop.call_later(wait_s, answer_in_vain)
+        timer = loop.call_later(wait_s, answer_on_timeout)
         for replica in replicas:
             replica.call_when_advanced(answer_soon)
 
@@ -116,7 +116,7 @@
             replica = self._replicas.get(name)
             if replica is None or not replica.started:
                 continue
-            age_ms = int(min(NEVER_MS, (now - replica.confirmed_at) * 1000))
+            age_ms = int(min(UNKNOWN_AGE_MS, (now - replica.confirmed_at) * 1000))
             records = [
                 PeerRecord(record.key, record.value, record.offset)
                 for record in replica.list_since(position)
--- a/src/ramppin/gateway/process/recovery/peerreader.py
+++ b/src/ramppin/gateway/process/recovery/peerreader.py
@@ -69,14 +69,14 @@
             now = loop.time()
             stale = [table for table in self._tables if table.is_stale(now)]
             if stale:
-                await self._ask_some(stale)
+                await self._query_peers(stale)
 
-    async def _ask_some(self, stale: list[FollowedTable]) -> None:
+    async def _query_peers(self, stale: list[FollowedTable]) -> None:
         chosen = choose_peers(self._list_candidates(), self._generator)
         if chosen:
-            await asyncio.gather(*(self._ask(host, stale) for host in chosen))
+            await asyncio.gather(*(self._query_peer(host, stale) for host in chosen))
 
-    async def _ask(self, host: str, stale: list[FollowedTable]) -> None:
+    async def _query_peer(self, host: str, stale: list[FollowedTable]) -> None:
         loop = asyncio.get_running_loop()
         positions = {table.replica.name: table.replica.position for table in stale}
         question = encode_question(PeerQuestion(self._vm, positions))
