--- a/src/ramppin/gateway/process/recovery/filetables.py
+++ b/src/ramppin/gateway/process/recovery/filetables.py
@@ -59,16 +59,16 @@
     async def read_newest(self, *, timeout_s: float = 0.0) -> RecordBatch:
         """Return all entries."""
         await asyncio.sleep(0)
-        self._changed_at = self._measure_change()
+        self._changed_at = self._read_mtime()
         self._known = self._read()
-        return self._number({**self._known})
+        return self._build_batch({**self._known})
 
     async def read_after(self, position: int, *, wait_s: float) -> RecordBatch:
         """Return the entries that changed; wait for a change."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + wait_s
         while True:
-            changed_at = self._measure_change()
+            changed_at = self._read_mtime()
             if changed_at != self._changed_at:
                 self._changed_at = changed_at
                 return self._compare(self._read())
@@ -82,16 +82,16 @@
         }
         changes |= dict.fromkeys(self._known.keys() - found.keys())
         self._known = found
-        return self._number(changes)
+        return self._build_batch(changes)
 
-    def _number(self, changes: Mapping[str, bytes | None]) -> RecordBatch:
+    def _build_batch(self, changes: Mapping[str, bytes | None]) -> RecordBatch:
         records = []
         for key, value in changes.items():
             records.append(Record(key, value, self._position))
             self._position += 1
         return RecordBatch(tuple(records), self._position)
 
-    def _measure_change(self) -> int:
+    def _read_mtime(self) -> int:
         try:
             return self._path.stat().st_mtime_ns
         except OSError as error:
@@ -108,8 +108,8 @@
                     error.show(), step="read", peer=str(self._path)
                 )
         if self._part == ROUTING_PART:
-            emptied = self._list_evacuated(document)
-            return {SETTINGS_KEY: json.dumps(part).encode()} | emptied
+            evacuated = self._list_evacuated(document)
+            return {SETTINGS_KEY: json.dumps(part).encode()} | evacuated
         if not isinstance(part, dict):
             raise LogUnavailableError(
                 f"{self._part}: an object is needed", step="read", peer=str(self._path)
--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -249,7 +249,7 @@
 
     def _follow_members(self) -> FollowedTable:
         return self._follow_through_relays(
-            Replica("members", self._take_member),
+            Replica("members", self._apply_member),
             self._sources.members,
             bound_s=MEMBER_BOUND_S,
             interval_s=MEMBER_INTERVAL_S,
@@ -299,6 +299,6 @@
             reachable=follower.reachable, regained_at=follower.regained_at, now=now
         )
 
-    def _take_member(self, record: Record) -> None:
+    def _apply_member(self, record: Record) -> None:
         if not self.members.apply_record(record, asyncio.get_running_loop().time()):
             self._context.metrics.refused_entries.inc("members")
