--- a/src/ramppin/gateway/process/routing/eligibility.py
+++ b/src/ramppin/gateway/process/routing/eligibility.py
@@ -28,7 +28,7 @@
     tried: Collection[str],
     max_in_flight: int | None,
     now: float,
-    bad: Collection[str] = (),
+    failing: Collection[str] = (),
 ) -> list[ServerState]:
     """Return the servers to choose from; empty only if all were tried.
 
@@ -38,11 +38,11 @@
         max_in_flight: maximum number of requests that this VM should have in flight at
             one server; None for no limit.
         now: event loop time.
-        bad: ids from :func:`find_failing_servers`.
+        failing: ids from :func:`find_failing_servers`.
     """
     untried = [state for state in states if state.id not in tried]
     healthy = [state for state in untried if not state.health.is_suspect(now)]
-    good = [state for state in healthy if state.id not in bad]
+    good = [state for state in healthy if state.id not in failing]
     preferred = good or healthy or untried
     accepting = [state for state in preferred if not state.shedding.is_likely(now)]
     preferred = accepting or preferred
@@ -66,12 +66,12 @@
         now: event loop time.
     """
     share = requests_per_s / max(1, len(states))
-    bad = frozenset(
+    failing = frozenset(
         state.id
         for state in states
         if state.evidence.is_failing(own_domain, share, now)
     )
-    return bad if len(bad) <= MAX_EXCLUDED_SHARE * len(states) else frozenset()
+    return failing if len(failing) <= MAX_EXCLUDED_SHARE * len(states) else frozenset()
 
 
 def has_healthy_server(
--- a/src/ramppin/gateway/process/routing/selection.py
+++ b/src/ramppin/gateway/process/routing/selection.py
@@ -28,14 +28,14 @@
         exclude: ids of servers that this request has tried.
         max_in_flight: maximum number of requests that this VM should have in flight at
             one server; None for no limit.
-        bad: ids of servers that the fleet sees failing.
+        failing: ids of servers that the fleet sees failing.
         suspect_key: the request's fingerprint if it may have crashed servers.
     """
 
     prefix_key: int | None = None
     exclude: frozenset[str] = frozenset()
     max_in_flight: int | None = None
-    bad: frozenset[str] = frozenset()
+    failing: frozenset[str] = frozenset()
     suspect_key: int | None = None
 
 
@@ -83,7 +83,7 @@
             now: event loop time.
         """
         eligible = list_eligible(
-            states, request.exclude, request.max_in_flight, now, request.bad
+            states, request.exclude, request.max_in_flight, now, request.failing
         )
         if not eligible:
             return None
