--- a/features/steps/gateway_load_steps.py
+++ b/features/steps/gateway_load_steps.py
@@ -13,7 +13,7 @@
 from ramppin.gateway.connection.datagrams import LoadHint, PeerHints, WaitHint
 from ramppin.gateway.process.load.gossip import LoadGossip
 from ramppin.gateway.process.load.times import ServiceTimes
-from ramppin.gateway.process.load.view import measure_loads, weigh_mean
+from ramppin.gateway.process.load.view import estimate_weighted_mean, measure_loads
 from ramppin.gateway.process.membership.members import FleetMembers, MemberRecord
 from ramppin.gateway.process.recovery.replica import Record
 from ramppin.gateway.process.routing.directory import ServerDirectory
@@ -79,7 +79,7 @@
         loads = [1 + sum(draw() < 0.3 for _ in range(10)) for _ in range(servers)]
         chances = [draw() ** (1 / load) for load in loads]
         met = sorted(range(servers), key=lambda n: -chances[n])[:seen]
-        found = weigh_mean([loads[n] for n in met], servers)
+        found = estimate_weighted_mean([loads[n] for n in met], servers)
         errors.append(found - sum(loads) / servers)
     assert abs(sum(errors)) / DRAWS <= error, errors
 
--- a/src/ramppin/gateway/process/load/view.py
+++ b/src/ramppin/gateway/process/load/view.py
@@ -30,7 +30,7 @@
 that was answered."""
 
 BISECTION_STEPS = 20
-"""Steps of the bisection in :func:`weigh_mean`: to a millionth of the interval."""
+"""Steps of the bisection in :func:`estimate_weighted_mean`: to a millionth of the interval."""
 
 
 @dataclass(slots=True)
@@ -85,10 +85,10 @@
         known = sum(state.find_known_load(now) for state in states)
         return known / max(1, len(states))
     own = sum(state.in_flight for state in states) / len(states)
-    return max(own, weigh_mean(reported, len(states)) - REPORT_EXCESS)
+    return max(own, estimate_weighted_mean(reported, len(states)) - REPORT_EXCESS)
 
 
-def weigh_mean(loads: Sequence[int], servers: int) -> float:
+def estimate_weighted_mean(loads: Sequence[int], servers: int) -> float:
     """Return the mean load of servers of which only some were observed.
 
     A server is observed more often the higher its load, so the observed ones have more
