--- a/src/ramppin/gateway/process/load/gossip.py
+++ b/src/ramppin/gateway/process/load/gossip.py
@@ -71,7 +71,7 @@
         """Return this VM's reports since the last call, and its overdue requests."""
         fresh = [state for state in self._directory if state.load.pop_pending()]
         fresh.sort(key=lambda state: -state.load.requests)
-        near = [_describe(state, now) for state in fresh[:SERVERS_PER_MESSAGE]]
+        near = [_build_hint(state, now) for state in fresh[:SERVERS_PER_MESSAGE]]
         near_bound = {
             state.id
             for service in {state.server.service for state in fresh}
@@ -124,6 +124,6 @@
         return [state for state in states if state.load.requests >= limit]
 
 
-def _describe(state: ServerState, now: float) -> LoadHint:
+def _build_hint(state: ServerState, now: float) -> LoadHint:
     age_ms = round(state.load.measure_age(now) * MS_PER_S)
     return LoadHint(state.id, state.load.requests, age_ms)
