--- a/src/ramppin/gateway/process/routing/gate.py
+++ b/src/ramppin/gateway/process/routing/gate.py
@@ -48,8 +48,8 @@
         Args:
             tried: ids of the servers that the request has tried.
         """
-        passed_over = tried if self.list_open() else ()
-        return {c.reason for name, c in self.closed.items() if name not in passed_over}
+        skipped = tried if self.list_open() else ()
+        return {c.reason for name, c in self.closed.items() if name not in skipped}
 
     def list_closure_labels(self) -> tuple[str, ...]:
         """Return labels ``REASON:ID`` of closed servers, at most the first few."""
