--- a/src/ramppin/gateway/process/routing/eligibility.py
+++ b/src/ramppin/gateway/process/routing/eligibility.py
@@ -18,9 +18,9 @@
 rest is reserved for VMs that are not known yet."""
 
 MAX_EXCLUDED_SHARE = 1 / 3
-"""Largest share of a service's servers that may be excluded because the fleet sees them
-fail. If more fail, the fault is in the service, and the rest could not carry its load.
-"""
+"""Largest share of a service's servers that may be excluded for failures reported in
+the fleet. If more fail, the fault is in the service, and the rest could not carry its
+load."""
 
 
 def list_eligible(
@@ -55,7 +55,7 @@
 def find_failing_servers(
     states: Sequence[ServerState], own_domain: str, requests_per_s: float, now: float
 ) -> frozenset[str]:
-    """Return the ids of servers that the fleet sees failing.
+    """Return the ids of servers that fail according to reports of the fleet.
 
     Empty if they exceed :data:`MAX_EXCLUDED_SHARE` of the servers.
 
--- a/src/ramppin/gateway/process/routing/failuregossip.py
+++ b/src/ramppin/gateway/process/routing/failuregossip.py
@@ -18,8 +18,8 @@
 not fragmented with the homes."""
 
 MAX_FAILING_SHARE = 1 / 3
-"""Largest share of the servers that one message may report as failing. A VM that sees
-more servers fail is likely to have faulty links itself, and its report would eject
+"""Largest share of the servers that one message may report as failing. A VM with
+more failing servers is likely to have faulty links itself, and its report would eject
 healthy servers."""
 
 
--- a/src/ramppin/gateway/process/routing/incarnation.py
+++ b/src/ramppin/gateway/process/routing/incarnation.py
@@ -15,7 +15,7 @@
     SAME = "same"
     LATER = "later"
     EARLIER = "earlier"
-    UNSTATED = "untold"
+    UNSTATED = "unstated"
     """The known entry states a start and this one does not: it has another writer."""
 
 
--- a/src/ramppin/gateway/process/routing/selection.py
+++ b/src/ramppin/gateway/process/routing/selection.py
@@ -28,7 +28,7 @@
         exclude: ids of servers that this request has tried.
         max_in_flight: maximum number of requests that this VM should have in flight at
             one server; None for no limit.
-        failing: ids of servers that the fleet sees failing.
+        failing: ids of servers that fail according to reports of the fleet.
         suspect_key: the request's fingerprint if it may have crashed servers.
     """
 
