--- a/src/ramppin/gateway/process/load/view.py
+++ b/src/ramppin/gateway/process/load/view.py
@@ -30,7 +30,7 @@
 that was answered."""
 
 BISECTION_STEPS = 20
-"""Steps of the bisection in :func:`estimate_weighted_mean`: to a millionth of the interval."""
+"""Bisection steps of :func:`estimate_weighted_mean`: to a millionth of the interval."""
 
 
 @dataclass(slots=True)
