--- a/src/ramppin/gateway/process/load/__init__.py
+++ b/src/ramppin/gateway/process/load/__init__.py
@@ -1,1 +1,1 @@
-"""What a VM knows of the load of backend servers, from whom, and how old it is."""
+"""Load estimates of backend servers, and the exchange of load reports between VMs."""
--- a/src/ramppin/gateway/process/load/waiting.py
+++ b/src/ramppin/gateway/process/load/waiting.py
@@ -40,7 +40,7 @@
     """Requests that wait for one backend server, of this VM and of its peers.
 
     Args:
-        stall_detector: of this process; None where it never stalls.
+        stall_detector: stall detector of this process; None if it never stalls.
 
     .. versionadded:: 0.3
     """
--- a/src/ramppin/gateway/process/routing/__init__.py
+++ b/src/ramppin/gateway/process/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which backend server gets a request: loads and homes of prefixes."""
+"""Selection of the backend server for a request, by load and by homes of prefixes."""
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -29,7 +29,7 @@
 from ramppin.gateway.process.routing.noticegossip import NoticeGossip
 
 MIN_PERIOD_S = 0.08
-"""Minimum of seconds between two periodic messages to all VMs."""
+"""Minimum period in seconds of the messages to all VMs."""
 
 DATAGRAMS_PER_S = 100
 """Mean rate of datagrams that one VM sends; with many VMs the period grows instead."""
