--- a/features/steps/platform_entry_steps.py
+++ b/features/steps/platform_entry_steps.py
@@ -194,7 +194,7 @@
         snapshot = decode_snapshot(value)
         if snapshot is not None:
             snapshots._suspects.apply(snapshot.suspects, 0.0)
-            snapshots._take_homes(snapshot)
+            snapshots._apply_homes(snapshot)
         assert homes.find(7) == "i-1"
 
     @settings(max_examples=300, suppress_health_check=list(HealthCheck), deadline=None)
