--- a/src/ramppin/router/version/tree.py
+++ b/src/ramppin/router/version/tree.py
@@ -198,12 +198,12 @@
     @property
     def claim_window_s(self) -> float:
         """How old an idempotency key may be, in seconds."""
-        return _first(self.tree.fleet.claim_window_s, DEFAULTS.claim_window_s)
+        return _or_default(self.tree.fleet.claim_window_s, DEFAULTS.claim_window_s)
 
     @property
     def absent_s(self) -> float:
         """Seconds that a backend server may be missing from the list of VMs."""
-        return _first(self.tree.fleet.absent_s, DEFAULTS.absent_s)
+        return _or_default(self.tree.fleet.absent_s, DEFAULTS.absent_s)
 
     def _list_levels(self, service: str, customer: str, route: int) -> list[_Level]:
         node = self.tree.services[service]
@@ -255,5 +255,5 @@
     return tuple(found)
 
 
-def _first(value: float | None, default: float | None) -> float:
+def _or_default(value: float | None, default: float | None) -> float:
     return value if value is not None else default or 0.0
