--- a/src/ramppin/router/version/acceptance.py
+++ b/src/ramppin/router/version/acceptance.py
@@ -109,7 +109,7 @@
             return None
         self.next_offset = offset + 1
         self.records_since_snapshot += 1
-        verdict = self._judge(offset, value)
+        verdict = self._apply_record(offset, value)
         self.verdicts = [*self.verdicts[-self._keep + 1 :], verdict]
         return verdict
 
@@ -117,7 +117,7 @@
         """Return what became of the change with a nonce, or None."""
         return next((v for v in self.verdicts if v.nonce == nonce), None)
 
-    def _judge(self, offset: int, value: object) -> Verdict:
+    def _apply_record(self, offset: int, value: object) -> Verdict:
         try:
             record = _ADAPTER.validate_python(value)
         except ValidationError as error:
@@ -126,10 +126,10 @@
             refused = SettingsError(first["msg"], source=f"record {offset}", path=path)
             return Verdict(offset, False, "invalid", error=refused)
         if isinstance(record, SnapshotRecord):
-            return self._judge_snapshot(offset, record)
-        return self._judge_change(offset, record)
+            return self._apply_snapshot(offset, record)
+        return self._apply_change(offset, record)
 
-    def _judge_snapshot(self, offset: int, record: SnapshotRecord) -> Verdict:
+    def _apply_snapshot(self, offset: int, record: SnapshotRecord) -> Verdict:
         if record.version <= self.version:
             if record.version == self.version:
                 self.records_since_snapshot = 0
@@ -143,7 +143,7 @@
                 return Verdict(offset, False, record.kind, error=error)
         raise AssertionError
 
-    def _judge_change(self, offset: int, record: ChangeRecord | PatchRecord) -> Verdict:
+    def _apply_change(self, offset: int, record: ChangeRecord | PatchRecord) -> Verdict:
         if record.base != self.version:
             error: RamppinError = ConflictError(
                 f"made from version {record.base}, but {self.version} is in force",
