--- a/src/ramppin/router/connection/backends.py
+++ b/src/ramppin/router/connection/backends.py
@@ -201,7 +201,7 @@
 
     async def cancel_stream(self, address: str, stream: str) -> None:
         """Tell an engine that nobody wants a stream any more."""
-        await self._order("DELETE", f"http://{address}/v1/streams/{stream}")
+        await self._request("DELETE", f"http://{address}/v1/streams/{stream}")
 
     async def read_load(self, address: str) -> LoadReport:
         """Return a backend server's load report.
@@ -209,7 +209,7 @@
         Raises:
             RamppinError: there was none.
         """
-        body = await self._order("GET", f"http://{address}/load")
+        body = await self._request("GET", f"http://{address}/load")
         try:
             return LoadReport.model_validate_json(body)
         except ValidationError as error:
@@ -222,13 +222,13 @@
             RamppinError: there was no answer.
         """
         url = f"http://{address}/cache/events?after={after}"
-        body = await self._order("GET", url)
+        body = await self._request("GET", url)
         try:
             return _CacheEvents.model_validate_json(body).events
         except ValidationError as error:
             raise RamppinError(str(error), step="events", peer=address) from error
 
-    async def _order(self, method: str, url: str) -> bytes:
+    async def _request(self, method: str, url: str) -> bytes:
         timeout = aiohttp.ClientTimeout(total=REPORT_TIMEOUT_S)
         try:
             async with self._session.request(method, url, timeout=timeout) as reply:
