--- a/src/ramppin/router/connection/backends.py
+++ b/src/ramppin/router/connection/backends.py
@@ -111,7 +111,7 @@
         self._response = response
         self._timer: asyncio.TimerHandle | None = None
 
-    def limit(self, seconds: float) -> None:
+    def set_timeout(self, seconds: float) -> None:
         """Break the answer off unless it ends in time; replaces a former limit."""
         if self._timer:
             self._timer.cancel()
--- a/src/ramppin/router/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -218,7 +218,7 @@
             raise
         except BrokenAnswerError as error:
             raise self._lose_answer(error) from error
-        answer.limit(self.left_s)
+        answer.set_timeout(self.left_s)
         self.context.metrics.first_byte_seconds.labels(self.service).observe(
             self.context.clock() - self.started
         )
@@ -278,7 +278,7 @@
                 await self.context.backends.cancel_stream(address, attempt)
         try:
             answer = await sending
-            answer.limit(self._hold_s)
+            answer.set_timeout(self._hold_s)
             await answer.read()
             self.free(place)
         except NotSentError:
