--- a/src/ramppin/router/connection/log.py
+++ b/src/ramppin/router/connection/log.py
@@ -15,7 +15,7 @@
 
 from ramppin.errors import AppendUnknownError, LogTrimmedError, LogUnavailableError
 
-NOT_TAKEN = frozenset({400, 401, 403, 404, 413, 429, 503})
+NOT_APPENDED_STATUSES = frozenset({400, 401, 403, 404, 413, 429, 503})
 """Statuses by which the service says that a record was not appended."""
 
 
@@ -89,7 +89,7 @@
                 headers=self._headers | {"Content-Type": "application/json"},
                 timeout=timeout,
             ) as reply:
-                if reply.status in NOT_TAKEN:
+                if reply.status in NOT_APPENDED_STATUSES:
                     raise self._fail(LogUnavailableError, f"status {reply.status}")
                 if reply.status != 201:
                     raise self._fail(AppendUnknownError, f"status {reply.status}")
