--- a/src/ramppin/router/connection/log.py
+++ b/src/ramppin/router/connection/log.py
@@ -90,14 +90,14 @@
                 timeout=timeout,
             ) as reply:
                 if reply.status in NOT_APPENDED_STATUSES:
-                    raise self._fail(LogUnavailableError, f"status {reply.status}")
+                    raise self._build_error(LogUnavailableError, f"status {reply.status}")
                 if reply.status != 201:
-                    raise self._fail(AppendUnknownError, f"status {reply.status}")
+                    raise self._build_error(AppendUnknownError, f"status {reply.status}")
                 return _AppendReply.model_validate_json(await reply.read()).offset
         except aiohttp.ClientConnectorError as error:
-            raise self._fail(LogUnavailableError, str(error)) from error
+            raise self._build_error(LogUnavailableError, str(error)) from error
         except (aiohttp.ClientError, TimeoutError, ValidationError) as error:
-            raise self._fail(AppendUnknownError, repr(error)) from error
+            raise self._build_error(AppendUnknownError, repr(error)) from error
 
     async def read(
         self, stream: str, start: int, *, wait_s: float = 0.0, limit: int = 1000
@@ -126,13 +126,13 @@
                     first = int(reply.headers.get("Log-First-Offset", "0"))
                     raise LogTrimmedError(first, peer=self._base_url)
                 if reply.status != 200:
-                    raise self._fail(LogUnavailableError, f"status {reply.status}")
+                    raise self._build_error(LogUnavailableError, f"status {reply.status}")
                 parsed = _ReadReply.model_validate_json(body)
         except (aiohttp.ClientError, TimeoutError, ValueError) as error:
-            raise self._fail(LogUnavailableError, repr(error), "read") from error
+            raise self._build_error(LogUnavailableError, repr(error), "read") from error
         return Batch(parsed.first, parsed.next, parsed.records)
 
-    def _fail(
+    def _build_error(
         self, kind: type[LogUnavailableError], message: str, step: str = "append"
     ) -> LogUnavailableError:
         return kind(message, step=step, peer=self._base_url)
