--- a/src/ramppin/router/connection/vmlist.py
+++ b/src/ramppin/router/connection/vmlist.py
@@ -103,7 +103,7 @@
         self._session = session
         self._headers = {"Ramppin-VM": vm}
         self._timeout = aiohttp.ClientTimeout(total=timeout_s)
-        self._tag = ""
+        self._etag = ""
 
     async def read(self) -> VmList | None:
         """Return the list; None if it is as it was at the last read.
@@ -112,8 +112,8 @@
             RamppinError: the service could not be read.
         """
         headers = dict(self._headers)
-        if self._tag:
-            headers["If-None-Match"] = self._tag
+        if self._etag:
+            headers["If-None-Match"] = self._etag
         try:
             async with self._session.get(
                 self._url, headers=headers, timeout=self._timeout
@@ -122,7 +122,7 @@
                     return None
                 reply.raise_for_status()
                 parsed = _ListReply.model_validate_json(await reply.read())
-                self._tag = reply.headers.get("ETag", "")
+                self._etag = reply.headers.get("ETag", "")
         except (aiohttp.ClientError, TimeoutError, ValidationError) as error:
             raise RamppinError(repr(error), step="list VMs", peer=self._url) from error
         return build_vm_list(parsed.vms)
