--- a/src/ramppin/router/connection/operator.py
+++ b/src/ramppin/router/connection/operator.py
@@ -63,14 +63,14 @@
                     method, self._url + path, json=body, headers=headers
                 ) as reply,
             ):
-                return _check(reply.status, await reply.text(), self._url)
+                return _parse_reply(reply.status, await reply.text(), self._url)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise PeerUnavailableError(
                 str(error) or repr(error), step=f"{method} {path}", peer=self._url
             ) from error
 
 
-def _check(status: int, text: str, peer: str) -> dict[str, Any]:
+def _parse_reply(status: int, text: str, peer: str) -> dict[str, Any]:
     try:
         found = json.loads(text)
     except ValueError:
