--- a/src/ramppin/router/connection/backends.py
+++ b/src/ramppin/router/connection/backends.py
@@ -280,6 +280,6 @@
         headers: the headers.
         drop: further names to leave out, in lower case.
     """
-    named = headers.get("connection", "").lower().split(",")
-    unwanted = HOP_BY_HOP | {name.strip() for name in named} | set(drop)
+    connection_options = headers.get("connection", "").lower().split(",")
+    unwanted = HOP_BY_HOP | {name.strip() for name in connection_options} | set(drop)
     return {k: v for k, v in headers.items() if k.lower() not in unwanted}
