--- a/src/ramppin/router/connection/log.py
+++ b/src/ramppin/router/connection/log.py
@@ -90,9 +90,13 @@
                 timeout=timeout,
             ) as reply:
                 if reply.status in NOT_APPENDED_STATUSES:
-                    raise self._build_error(LogUnavailableError, f"status {reply.status}")
+                    raise self._build_error(
+                        LogUnavailableError, f"status {reply.status}"
+                    )
                 if reply.status != 201:
-                    raise self._build_error(AppendUnknownError, f"status {reply.status}")
+                    raise self._build_error(
+                        AppendUnknownError, f"status {reply.status}"
+                    )
                 return _AppendReply.model_validate_json(await reply.read()).offset
         except aiohttp.ClientConnectorError as error:
             raise self._build_error(LogUnavailableError, str(error)) from error
@@ -126,7 +130,9 @@
                     first = int(reply.headers.get("Log-First-Offset", "0"))
                     raise LogTrimmedError(first, peer=self._base_url)
                 if reply.status != 200:
-                    raise self._build_error(LogUnavailableError, f"status {reply.status}")
+                    raise self._build_error(
+                        LogUnavailableError, f"status {reply.status}"
+                    )
                 parsed = _ReadReply.model_validate_json(body)
         except (aiohttp.ClientError, TimeoutError, ValueError) as error:
             raise self._build_error(LogUnavailableError, repr(error), "read") from error
--- a/src/ramppin/router/connection/peerserver.py
+++ b/src/ramppin/router/connection/peerserver.py
@@ -128,14 +128,18 @@
         self._newest[vm] = socket
         outbox = Outbox(socket, self._meter)
         try:
-            await receive_messages(socket, vm, self._meter, self._build_receiver(vm, outbox))
+            await receive_messages(
+                socket, vm, self._meter, self._build_receiver(vm, outbox)
+            )
         finally:
             await outbox.close()
             if self._newest.get(vm) is socket:
                 del self._newest[vm]
                 self._handler.handle_link_down(vm)
 
-    def _build_receiver(self, vm: str, outbox: Outbox) -> Callable[[Message], Awaitable[None]]:
+    def _build_receiver(
+        self, vm: str, outbox: Outbox
+    ) -> Callable[[Message], Awaitable[None]]:
         async def receive(message: Message) -> None:
             await self._handler.handle_message(vm, message, outbox.put)
 
