--- a/src/ramppin/gateway/process/load/view.py
+++ b/src/ramppin/gateway/process/load/view.py
@@ -72,9 +72,9 @@
     """Return the mean load of servers.
 
     If many VMs share the servers, a VM has recent reports of a few servers only, and
-    knows just its own requests at the rest. The mean over all would be far too low, and
-    each server with a new report would appear overloaded. So the mean is estimated from
-    the servers with a report.
+    counts just its own requests at the rest. The mean over all would be far too low,
+    and each server with a new report would appear overloaded. So the mean is estimated
+    from the servers with a report.
     """
     reported = [
         max(1, state.find_known_load(now))
--- a/src/ramppin/gateway/process/routing/directory.py
+++ b/src/ramppin/gateway/process/routing/directory.py
@@ -1,4 +1,4 @@
-"""Directory of the backend servers that a process knows, by service.
+"""Directory of the known backend servers, by service.
 
 Holds the state of each incarnation of a server (:mod:`~.serverstate`). It is rebuilt
 from the log and from answers after a start of this process.
--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -7,7 +7,7 @@
 prefix. All VMs reach the same result, in whatever order the announcements arrive.
 
 Without announcements, each VM would have a prefix processed again at a server of its
-own choice. Holds the homes that this VM knows and those to be announced. No I/O.
+own choice. Holds the homes of prefixes and those to be announced. No I/O.
 """
 
 from __future__ import annotations
--- a/src/ramppin/gateway/process/routing/prefixselection.py
+++ b/src/ramppin/gateway/process/routing/prefixselection.py
@@ -1,6 +1,6 @@
 """Selects servers for prompts: the home of the prefix, if it is below the load bound.
 
-Uses the homes that this VM knows (:mod:`~.homes`) and the prefixes that are requested
+Uses the homes stored on this VM (:mod:`~.homes`) and the prefixes that are requested
 often in the fleet (:mod:`~.hotprefixes`). Keeps only the rendezvous ranking itself.
 """
 
