--- a/src/ramppin/router/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -26,7 +26,7 @@
 RETRY_AFTER_FAILURE_S = 1.0
 """Seconds after which a caller may come back after a failure."""
 
-OWNER_ANSWER_S = 0.5
+OWNER_REPLY_MARGIN_S = 0.5
 """How much longer than the wait to wait for the owner's refusal."""
 
 _REFUSALS = {
@@ -135,7 +135,7 @@
             returning,
             exclude,
         )
-        wait = self.policy.max_wait_s + OWNER_ANSWER_S
+        wait = self.policy.max_wait_s + OWNER_REPLY_MARGIN_S
         deadline = min(self.deadline, self.context.clock() + wait)
         decision = await self.context.placer.place(wanted, deadline)
         if isinstance(decision, Refusal):
