--- a/src/ramppin/router/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -93,7 +93,7 @@
         self.pool = settings.tree.services[service].pool
         self.sent = False
         self._cancels = False
-        self._hold_s = settings.resolve_pool(self.pool).orphan_hold_s
+        self._orphan_hold_s = settings.resolve_pool(self.pool).orphan_hold_s
         self.started = context.clock()
         limit = self.policy.deadline_s
         self.deadline = self.started + min(limit, deadline_s or limit)
@@ -236,7 +236,7 @@
         built = build(server, attempt)
         request = replace(
             built,
-            timeout_s=built.timeout_s + self._hold_s,
+            timeout_s=built.timeout_s + self._orphan_hold_s,
             may_send=lambda: self.context.placer.is_good(place),
         )
         self.sent = True
@@ -278,7 +278,7 @@
                 await self.context.backends.cancel_stream(address, attempt)
         try:
             answer = await sending
-            answer.set_timeout(self._hold_s)
+            answer.set_timeout(self._orphan_hold_s)
             await answer.read()
             self.free(place)
         except NotSentError:
