--- a/src/ramppin/router/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -254,10 +254,10 @@
         try:
             await asyncio.wait({sending}, timeout=self.left_s)
         except asyncio.CancelledError:
-            self.context.spawn(self._linger(sending, place, address, attempt))
+            self.context.spawn(self._drain_abandoned(sending, place, address, attempt))
             raise
         if not sending.done():
-            self.context.spawn(self._linger(sending, place, address, attempt))
+            self.context.spawn(self._drain_abandoned(sending, place, address, attempt))
             raise BrokenAnswerError("no answer in time", step="send", peer=server)
         try:
             return sending.result()
@@ -265,7 +265,7 @@
             self.free(place, failed=True, running=True)
             raise
 
-    async def _linger(
+    async def _drain_abandoned(
         self,
         sending: asyncio.Task[BackendAnswer],
         place: Place,
