--- a/src/ramppin/router/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -217,7 +217,7 @@
             self.free(place, failed=not isinstance(error, PlaceLostError))
             raise
         except BrokenAnswerError as error:
-            raise self._lose_answer(error) from error
+            raise self._build_lost_answer_error(error) from error
         answer.set_timeout(self.left_s)
         self.context.metrics.first_byte_seconds.labels(self.service).observe(
             self.context.clock() - self.started
@@ -306,7 +306,7 @@
             peer=error.peer,
         ) from error
 
-    def _lose_answer(self, error: BrokenAnswerError) -> RefusedError:
+    def _build_lost_answer_error(self, error: BrokenAnswerError) -> RefusedError:
         late = self.left_s <= 0
         self.note("send", f"answer lost: {error.message}", peer=error.peer)
         return RefusedError(
