--- a/src/ramppin/router/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -139,7 +139,7 @@
         deadline = min(self.deadline, self.context.clock() + wait)
         decision = await self.context.placer.place(wanted, deadline)
         if isinstance(decision, Refusal):
-            raise self._refuse(decision)
+            raise self._build_refusal_error(decision)
         self._note_grant(decision.grant, decision.owner)
         return decision
 
@@ -319,7 +319,7 @@
             peer=error.peer,
         )
 
-    def _refuse(self, refusal: Refusal) -> RefusedError:
+    def _build_refusal_error(self, refusal: Refusal) -> RefusedError:
         status, message = _REFUSALS[refusal.reason]
         self.note("place", message, "max_wait_s", "max_waiting", "max_in_flight")
         return RefusedError(
