--- a/src/ramppin/router/request/call.py
+++ b/src/ramppin/router/request/call.py
@@ -90,7 +90,7 @@
             call.path,
             call.headers | {"X-Request-Id": attempt},
             self._stream_body() if has_body else None,
-            self._run.left_s,
+            self._run.remaining_s,
             fresh=not self._run.policy.repeatable,
         )
 
--- a/src/ramppin/router/request/chat.py
+++ b/src/ramppin/router/request/chat.py
@@ -120,7 +120,7 @@
             "Ramppin-Chat": f"{self._chat:016x}",
         }
         return BackendRequest(
-            "POST", COMPLETIONS_PATH, headers, self._data, self._run.left_s
+            "POST", COMPLETIONS_PATH, headers, self._data, self._run.remaining_s
         )
 
     async def _answer_whole(self, sent: Sent) -> Response:
@@ -210,7 +210,7 @@
                 yield part
             return
         except BrokenAnswerError as error:
-            if attempt == MAX_RESUMES or run.left_s <= 0:
+            if attempt == MAX_RESUMES or run.remaining_s <= 0:
                 raise
             run.note("resume", f"broken: {error.message}", peer=error.peer)
         answer.close()
@@ -228,7 +228,7 @@
         BrokenAnswerError: the engine does not have it any more.
     """
     path = f"/v1/streams/{stream}?after={position}"
-    request = BackendRequest("GET", path, {}, None, run.left_s)
+    request = BackendRequest("GET", path, {}, None, run.remaining_s)
     try:
         answer = await run.context.backends.send(server, address, request)
     except NotSentError as error:
--- a/src/ramppin/router/request/claimholder.py
+++ b/src/ramppin/router/request/claimholder.py
@@ -47,7 +47,7 @@
     run: int,
     key: str,
     taker: str,
-    left_s: Callable[[], float],
+    remaining_s: Callable[[], float],
 ) -> ClaimReply:
     """Ask the holder of a claim what became of it.
 
@@ -57,21 +57,21 @@
         run: the run of the holder's process.
         key: the claim's key.
         taker: the request that would run it, were it never sent.
-        left_s: returns the seconds that the request has left.
+        remaining_s: returns the seconds that the request has left.
 
     Raises:
         PeerUnavailableError: the holder can't be reached.
     """
     attempts = 0
-    waits_until = left_s() - MAX_LISTING_LAG_S
+    waits_until = remaining_s() - MAX_LISTING_LAG_S
     while True:
         try:
             link = await links.open(holder)
-            wait_ms = int(left_s() * 1000)
+            wait_ms = int(remaining_s() * 1000)
             ask = AskClaim(links.next_call(), key, run, taker, wait_ms)
-            reply = await link.call(ask, left_s() + REPLY_EXTRA_S)
+            reply = await link.call(ask, remaining_s() + REPLY_EXTRA_S)
         except PeerNotListedError:
-            if left_s() <= max(0.0, waits_until):
+            if remaining_s() <= max(0.0, waits_until):
                 raise
             await asyncio.sleep(LISTING_PAUSE_S)
             continue
--- a/src/ramppin/router/request/keyed.py
+++ b/src/ramppin/router/request/keyed.py
@@ -120,7 +120,7 @@
         item = ClaimItem(
             key=self._key, digest=self._digest, issued=self._call.issued or 0.0
         )
-        timeout = min(CLAIM_TIMEOUT_S, run.left_s)
+        timeout = min(CLAIM_TIMEOUT_S, run.remaining_s)
         try:
             claim = await run.context.claimer.claim(item, timeout)
         except LogUnavailableError as error:
@@ -199,7 +199,7 @@
             call.path,
             call.headers | {"X-Request-Id": attempt, "Idempotency-Key": call.key},
             self._body or None,
-            self._run.left_s,
+            self._run.remaining_s,
             fresh=True,
         )
 
@@ -211,10 +211,10 @@
         context = run.context
         run.note("repeat", f"the key is held by {claim.vm}", peer=claim.vm)
         holder, holder_run = claim.vm, claim.run
-        while run.left_s > 0:
+        while run.remaining_s > 0:
             if (holder, holder_run) == (context.vm, context.run):
                 reply = await wait_for_claim(
-                    context.held_claims, 0, self._key, run.id, run.left_s, own=True
+                    context.held_claims, 0, self._key, run.id, run.remaining_s, own=True
                 )
             else:
                 reply = await self._ask_holder(holder, holder_run)
@@ -251,7 +251,7 @@
                 run=holder_run,
                 key=self._key,
                 taker=run.id,
-                left_s=lambda: run.left_s,
+                remaining_s=lambda: run.remaining_s,
             )
         except PeerUnavailableError as error:
             why = f"its holder: {error.message}"
--- a/src/ramppin/router/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -109,7 +109,7 @@
         context.retries.note_request(settings.resolve_pool(self.pool).retry_ratio)
 
     @property
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Seconds until the deadline, at least 0."""
         return max(0.0, self.deadline - self.context.clock())
 
@@ -218,7 +218,7 @@
             raise
         except BrokenAnswerError as error:
             raise self._build_lost_answer_error(error) from error
-        answer.set_timeout(self.left_s)
+        answer.set_timeout(self.remaining_s)
         self.context.metrics.first_byte_seconds.labels(self.service).observe(
             self.context.clock() - self.started
         )
@@ -252,7 +252,7 @@
         """Return the answer's head; one given up on is awaited in the background."""
         server = place.grant.backend_server
         try:
-            await asyncio.wait({sending}, timeout=self.left_s)
+            await asyncio.wait({sending}, timeout=self.remaining_s)
         except asyncio.CancelledError:
             self.context.spawn(self._drain_abandoned(sending, place, address, attempt))
             raise
@@ -288,7 +288,7 @@
 
     def _check_retry(self, error: NotSentError, number: int) -> None:
         self.note("send", f"not sent: {error.message}", "retries", peer=error.peer)
-        if self.left_s <= 0:
+        if self.remaining_s <= 0:
             code, why = "deadline", "the deadline has passed"
         elif number > self.policy.retries:
             code, why = "unreachable", "no attempt is left"
@@ -307,7 +307,7 @@
         ) from error
 
     def _build_lost_answer_error(self, error: BrokenAnswerError) -> RefusedError:
-        late = self.left_s <= 0
+        late = self.remaining_s <= 0
         self.note("send", f"answer lost: {error.message}", peer=error.peer)
         return RefusedError(
             "the deadline passed" if late else "the answer was lost",
