--- a/src/ramppin/router/request/keyed.py
+++ b/src/ramppin/router/request/keyed.py
@@ -38,7 +38,7 @@
 CLAIM_TIMEOUT_S = 2.0
 """Seconds in which a claim must be read back from the log."""
 
-LOG_DOWN_RETRY_AFTER_S = 5.0
+LOG_UNAVAILABLE_RETRY_AFTER_S = 5.0
 """Seconds after which a call with a key may come back while the log is away."""
 
 
@@ -130,7 +130,7 @@
                 "sure of it",
                 status=503,
                 code="log_unavailable",
-                retry_after=LOG_DOWN_RETRY_AFTER_S,
+                retry_after=LOG_UNAVAILABLE_RETRY_AFTER_S,
                 step="claim",
                 peer=error.peer,
             ) from error
