--- a/src/ramppin/router/request/keyed.py
+++ b/src/ramppin/router/request/keyed.py
@@ -153,10 +153,10 @@
 
     async def _send(self) -> Response:
         # The run goes on if its caller leaves, so that a repeat is answered.
-        task = self._run.context.spawn(self._send_and_keep())
+        task = self._run.context.spawn(self._send_and_store())
         return self._respond(await asyncio.shield(task))
 
-    async def _send_and_keep(self) -> StoredAnswer:
+    async def _send_and_store(self) -> StoredAnswer:
         run = self._run
         held_claims = run.context.held_claims
         try:
