--- a/src/ramppin/router/request/keyed.py
+++ b/src/ramppin/router/request/keyed.py
@@ -70,7 +70,7 @@
         claim = self._run.context.claims.find(self._key)
         if claim is None:
             return await self._run_new()
-        return await self._follow(claim)
+        return await self._await_claim_result(claim)
 
     def _check_age(self) -> None:
         context = self._run.context
@@ -113,7 +113,7 @@
             self._check_digest(claim)
             if run.context.held_claims.take(self._key, run.id):
                 return await self._send()
-        return await self._follow(claim)
+        return await self._await_claim_result(claim)
 
     async def _claim(self) -> Claim:
         run = self._run
@@ -205,7 +205,7 @@
 
     # -- somebody else ran it, or runs it ---------------------------------
 
-    async def _follow(self, claim: Claim) -> Response:
+    async def _await_claim_result(self, claim: Claim) -> Response:
         self._check_digest(claim)
         run = self._run
         context = run.context
