--- a/src/ramppin/router/request/keyed.py
+++ b/src/ramppin/router/request/keyed.py
@@ -219,7 +219,7 @@
             else:
                 reply = await self._ask_holder(holder, holder_run)
             if reply.state == "ran":
-                return self._repeat(reply)
+                return self._replay_answer(reply)
             if reply.state == "given":
                 if holder != context.vm:
                     context.held_claims.adopt(self._key, run.id)
@@ -257,7 +257,7 @@
             why = f"its holder: {error.message}"
             raise self._refuse_unknown(why, holder) from error
 
-    def _repeat(self, reply: ClaimReply) -> Response:
+    def _replay_answer(self, reply: ClaimReply) -> Response:
         if reply.body is None:
             raise RefusedError(
                 "the request ran, and its answer is no longer kept",
