--- a/src/ramppin/router/request/keyed.py
+++ b/src/ramppin/router/request/keyed.py
@@ -232,7 +232,7 @@
                     holder, holder_run = taker.vm, taker.run
                 continue
             if reply.state in ("unknown", "lost"):
-                raise self._refuse_unknown("its answer is lost", holder)
+                raise self._build_unknown_error("its answer is lost", holder)
         raise RefusedError(
             "the request with this key still runs",
             status=409,
@@ -255,7 +255,7 @@
             )
         except PeerUnavailableError as error:
             why = f"its holder: {error.message}"
-            raise self._refuse_unknown(why, holder) from error
+            raise self._build_unknown_error(why, holder) from error
 
     def _replay_answer(self, reply: ClaimReply) -> Response:
         if reply.body is None:
@@ -270,7 +270,7 @@
         self._run.note("repeat", "the same answer again")
         return self._respond(answer)
 
-    def _refuse_unknown(self, why: str, holder: str) -> RefusedError:
+    def _build_unknown_error(self, why: str, holder: str) -> RefusedError:
         return RefusedError(
             f"the request with this key may have run; {why}",
             status=409,
