--- a/src/ramppin/router/request/call.py
+++ b/src/ramppin/router/request/call.py
@@ -59,7 +59,7 @@
         self._call = call
         self._request = request
         self._outcome = Outcome.UNKNOWN
-        self._whole = False
+        self._complete = False
         self._failed = False
 
     async def answer(self) -> Response:
@@ -107,7 +107,7 @@
             async for part in sent.answer.iter_parts():
                 yield part
             self._outcome = judge_status(sent.answer.status)
-            self._whole = True
+            self._complete = True
         except BrokenAnswerError as error:
             self._failed = True
             self._run.note("relay", f"broken: {error.message}", peer=error.peer)
@@ -115,7 +115,7 @@
 
     def _close(self, sent: Sent) -> None:
         sent.answer.close()
-        self._run.free(sent.place, failed=self._failed, running=not self._whole)
+        self._run.free(sent.place, failed=self._failed, running=not self._complete)
         self._run.finish(self._outcome)
 
 
