--- a/src/ramppin/router/request/call.py
+++ b/src/ramppin/router/request/call.py
@@ -106,7 +106,7 @@
         try:
             async for part in sent.answer.iter_parts():
                 yield part
-            self._outcome = judge_status(sent.answer.status)
+            self._outcome = classify_status(sent.answer.status)
             self._complete = True
         except BrokenAnswerError as error:
             self._failed = True
@@ -130,7 +130,7 @@
         response.headers.append(COOKIE_HEADER, cookie)
 
 
-def judge_status(status: int) -> Outcome:
+def classify_status(status: int) -> Outcome:
     """Return what a whole answer's status says of its request."""
     return Outcome.RAN if status < 500 else Outcome.UNKNOWN
 
@@ -139,6 +139,8 @@
     """Return the headers that a backend server's answer goes on with."""
     answer = sent.answer
     headers = filter_headers(answer.headers, "date", "server", COOKIE_HEADER)
-    headers |= build_headers(run.id, run.settings.version, judge_status(answer.status))
+    headers |= build_headers(
+        run.id, run.settings.version, classify_status(answer.status)
+    )
     headers[SERVER_HEADER] = sent.place.grant.backend_server
     return headers
--- a/src/ramppin/router/request/keyed.py
+++ b/src/ramppin/router/request/keyed.py
@@ -26,7 +26,7 @@
     Call,
     add_cookies,
     build_answer_headers,
-    judge_status,
+    classify_status,
     list_cookies,
 )
 from ramppin.router.request.claimholder import ask_holder, wait_for_claim
@@ -173,7 +173,7 @@
             held_claims.finish(self._key, None)
             raise
         held_claims.finish(self._key, answer)
-        run.finish(judge_status(answer.status))
+        run.finish(classify_status(answer.status))
         return answer
 
     async def _read(self, sent: Sent) -> StoredAnswer:
@@ -282,7 +282,7 @@
 
     def _respond(self, answer: StoredAnswer) -> Response:
         run = self._run
-        outcome = judge_status(answer.status)
+        outcome = classify_status(answer.status)
         run.finish(outcome)
         headers = {k: v for k, v in answer.headers if k != COOKIE_HEADER}
         headers |= build_headers(run.id, run.settings.version, outcome)
