--- a/src/ramppin/router/request/budget.py
+++ b/src/ramppin/router/request/budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-MAX_SAVED = 10.0
+MAX_BALANCE = 10.0
 """Retries that a quiet time may save up."""
 
 
@@ -13,11 +13,11 @@
     """
 
     def __init__(self) -> None:
-        self._saved = MAX_SAVED
+        self._saved = MAX_BALANCE
 
     def note_request(self, ratio: float) -> None:
         """Note a request that may cost ``ratio`` of a retry."""
-        self._saved = min(MAX_SAVED, self._saved + ratio)
+        self._saved = min(MAX_BALANCE, self._saved + ratio)
 
     def take(self) -> bool:
         """Return whether a retry may be made, and count it."""
