--- a/src/ramppin/router/request/budget.py
+++ b/src/ramppin/router/request/budget.py
@@ -13,15 +13,15 @@
     """
 
     def __init__(self) -> None:
-        self._saved = MAX_BALANCE
+        self._balance = MAX_BALANCE
 
     def note_request(self, ratio: float) -> None:
         """Note a request that may cost ``ratio`` of a retry."""
-        self._saved = min(MAX_BALANCE, self._saved + ratio)
+        self._balance = min(MAX_BALANCE, self._balance + ratio)
 
     def take(self) -> bool:
         """Return whether a retry may be made, and count it."""
-        if self._saved < 1.0:
+        if self._balance < 1.0:
             return False
-        self._saved -= 1.0
+        self._balance -= 1.0
         return True
