--- a/src/ramppin/router/request/call.py
+++ b/src/ramppin/router/request/call.py
@@ -19,7 +19,7 @@
 from ramppin.router.request.answer import StreamedAnswer
 from ramppin.router.request.outcome import Outcome
 from ramppin.router.request.problem import SERVER_HEADER, build_headers
-from ramppin.router.request.run import Run, Sent
+from ramppin.router.request.run import Run, SentAttempt
 
 COOKIE_HEADER = "set-cookie"
 
@@ -102,7 +102,7 @@
         except ClientDisconnect as error:
             raise ConnectionResetError("the caller went away") from error
 
-    async def _relay(self, sent: Sent) -> AsyncIterator[bytes]:
+    async def _relay(self, sent: SentAttempt) -> AsyncIterator[bytes]:
         try:
             async for part in sent.answer.iter_parts():
                 yield part
@@ -113,7 +113,7 @@
             self._run.note("relay", f"broken: {error.message}", peer=error.peer)
             raise
 
-    def _close(self, sent: Sent) -> None:
+    def _close(self, sent: SentAttempt) -> None:
         sent.answer.close()
         self._run.free(sent.place, failed=self._failed, running=not self._complete)
         self._run.finish(self._outcome)
@@ -135,7 +135,7 @@
     return Outcome.RAN if status < 500 else Outcome.UNKNOWN
 
 
-def build_answer_headers(run: Run, sent: Sent) -> dict[str, str]:
+def build_answer_headers(run: Run, sent: SentAttempt) -> dict[str, str]:
     """Return the headers that a backend server's answer goes on with."""
     answer = sent.answer
     headers = filter_headers(answer.headers, "date", "server", COOKIE_HEADER)
--- a/src/ramppin/router/request/chat.py
+++ b/src/ramppin/router/request/chat.py
@@ -13,7 +13,7 @@
 from ramppin.router.request.identity import hash_chat, hash_opening
 from ramppin.router.request.outcome import Outcome
 from ramppin.router.request.problem import SERVER_HEADER, build_headers
-from ramppin.router.request.run import Run, Sent
+from ramppin.router.request.run import Run, SentAttempt
 from ramppin.router.request.stream import EventRelay, StreamId, build_error_event
 
 MAX_RESUMES = 2
@@ -123,7 +123,7 @@
             "POST", COMPLETIONS_PATH, headers, self._data, self._run.remaining_s
         )
 
-    async def _answer_whole(self, sent: Sent) -> Response:
+    async def _answer_whole(self, sent: SentAttempt) -> Response:
         run = self._run
         try:
             content = await sent.answer.read()
@@ -146,7 +146,7 @@
             sent.answer.headers.get("Content-Type"),
         )
 
-    def _answer_streamed(self, sent: Sent) -> Response:
+    def _answer_streamed(self, sent: SentAttempt) -> Response:
         run = self._run
         headers = self._build_headers(sent, Outcome.RAN)
         headers["Cache-Control"] = "no-cache"
@@ -161,7 +161,7 @@
         )
 
     async def _relay(
-        self, sent: Sent, relay: EventRelay, stream: StreamId
+        self, sent: SentAttempt, relay: EventRelay, stream: StreamId
     ) -> AsyncIterator[bytes]:
         try:
             async for part in relay_with_resume(self._run, relay, sent):
@@ -172,7 +172,7 @@
             yield _build_broken(self._run, stream, relay)
             raise
 
-    def _close(self, sent: Sent, relay: EventRelay) -> None:
+    def _close(self, sent: SentAttempt, relay: EventRelay) -> None:
         sent.answer.close()
         if relay.whole:
             self._run.free(sent.place)
@@ -183,12 +183,12 @@
             self._cancel(sent)
         self._run.finish(Outcome.RAN if relay.whole else Outcome.UNKNOWN)
 
-    def _cancel(self, sent: Sent) -> None:
+    def _cancel(self, sent: SentAttempt) -> None:
         run = self._run
         run.note("cancel", "the caller is gone", peer=sent.answer.server)
         run.context.spawn(_cancel_stream(run, sent))
 
-    def _build_headers(self, sent: Sent, outcome: Outcome) -> dict[str, str]:
+    def _build_headers(self, sent: SentAttempt, outcome: Outcome) -> dict[str, str]:
         run = self._run
         headers = build_headers(run.id, run.settings.version, outcome)
         headers[SERVER_HEADER] = sent.place.grant.backend_server
@@ -196,7 +196,7 @@
 
 
 async def relay_with_resume(
-    run: Run, relay: EventRelay, sent: Sent
+    run: Run, relay: EventRelay, sent: SentAttempt
 ) -> AsyncIterator[bytes]:
     """Yield a stream's events; resume it from its engine if it breaks.
 
@@ -311,7 +311,7 @@
     return build_error_event("the answer broke off", "answer_lost", last)
 
 
-async def _cancel_stream(run: Run, sent: Sent) -> None:
+async def _cancel_stream(run: Run, sent: SentAttempt) -> None:
     """Tell the engine that nobody wants the stream, then free its place."""
     running = True
     try:
--- a/src/ramppin/router/request/keyed.py
+++ b/src/ramppin/router/request/keyed.py
@@ -33,7 +33,7 @@
 from ramppin.router.request.identity import parse_request_id
 from ramppin.router.request.outcome import Outcome
 from ramppin.router.request.problem import build_headers
-from ramppin.router.request.run import Run, Sent
+from ramppin.router.request.run import Run, SentAttempt
 
 CLAIM_TIMEOUT_S = 2.0
 """Seconds in which a claim must be read back from the log."""
@@ -176,7 +176,7 @@
         run.finish(classify_status(answer.status))
         return answer
 
-    async def _read(self, sent: Sent) -> StoredAnswer:
+    async def _read(self, sent: SentAttempt) -> StoredAnswer:
         run = self._run
         failed = False
         try:
--- a/src/ramppin/router/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class SentAttempt:
     """An attempt whose answer's head has come.
 
     Attributes:
@@ -156,7 +156,7 @@
         chat: int = 0,
         returning: bool = False,
         cancels: bool = False,
-    ) -> Sent:
+    ) -> SentAttempt:
         """Send the request, again only where no byte of it left.
 
         Args:
@@ -205,7 +205,7 @@
 
     async def _attempt(
         self, build: Callable[[str, str], BackendRequest], place: Place, number: int
-    ) -> Sent:
+    ) -> SentAttempt:
         server = place.grant.backend_server
         attempt = f"{self.id}.{number}"
         try:
@@ -223,7 +223,7 @@
             self.context.clock() - self.started
         )
         self.note("send", f"status {answer.status}", peer=server)
-        return Sent(place, address, attempt, answer)
+        return SentAttempt(place, address, attempt, answer)
 
     def _start_sending(
         self,
