--- a/src/ramppin/router/process/callers.py
+++ b/src/ramppin/router/process/callers.py
@@ -28,7 +28,7 @@
     build_headers,
     build_problem,
 )
-from ramppin.router.request.run import Run
+from ramppin.router.request.run import RequestRun
 from ramppin.router.request.stream import parse_stream_id
 from ramppin.router.version.schema import ServiceKind
 from ramppin.router.version.tree import Settings
@@ -263,8 +263,8 @@
 
     def _build_run(
         self, request: Request, admitted: _Admitted, service: str, route: int = -1
-    ) -> Run:
-        return Run(
+    ) -> RequestRun:
+        return RequestRun(
             self._router.context,
             admitted.settings,
             admitted.request_id,
@@ -317,7 +317,7 @@
 
 
 async def _race_disconnect(
-    request: Request, run: Run, work: Coroutine[Any, Any, Response]
+    request: Request, run: RequestRun, work: Coroutine[Any, Any, Response]
 ) -> Response:
     """Do the work unless the caller leaves first."""
     task = asyncio.create_task(work)
--- a/src/ramppin/router/request/call.py
+++ b/src/ramppin/router/request/call.py
@@ -19,7 +19,7 @@
 from ramppin.router.request.answer import StreamedAnswer
 from ramppin.router.request.outcome import Outcome
 from ramppin.router.request.problem import SERVER_HEADER, build_headers
-from ramppin.router.request.run import Run, SentAttempt
+from ramppin.router.request.run import RequestRun, SentAttempt
 
 COOKIE_HEADER = "set-cookie"
 
@@ -54,7 +54,7 @@
     .. versionadded:: 0.1
     """
 
-    def __init__(self, run: Run, call: Call, request: Request) -> None:
+    def __init__(self, run: RequestRun, call: Call, request: Request) -> None:
         self._run = run
         self._call = call
         self._request = request
@@ -135,7 +135,7 @@
     return Outcome.RAN if status < 500 else Outcome.UNKNOWN
 
 
-def build_answer_headers(run: Run, sent: SentAttempt) -> dict[str, str]:
+def build_answer_headers(run: RequestRun, sent: SentAttempt) -> dict[str, str]:
     """Return the headers that a backend server's answer goes on with."""
     answer = sent.answer
     headers = filter_headers(answer.headers, "date", "server", COOKIE_HEADER)
--- a/src/ramppin/router/request/chat.py
+++ b/src/ramppin/router/request/chat.py
@@ -13,7 +13,7 @@
 from ramppin.router.request.identity import hash_chat, hash_opening
 from ramppin.router.request.outcome import Outcome
 from ramppin.router.request.problem import SERVER_HEADER, build_headers
-from ramppin.router.request.run import Run, SentAttempt
+from ramppin.router.request.run import RequestRun, SentAttempt
 from ramppin.router.request.stream import EventRelay, StreamId, build_error_event
 
 MAX_RESUMES = 2
@@ -91,7 +91,13 @@
     """
 
     def __init__(
-        self, run: Run, body: ChatBody, data: bytes, chat: int, *, resumable: bool
+        self,
+        run: RequestRun,
+        body: ChatBody,
+        data: bytes,
+        chat: int,
+        *,
+        resumable: bool,
     ) -> None:
         self._run = run
         self._body = body
@@ -196,7 +202,7 @@
 
 
 async def relay_with_resume(
-    run: Run, relay: EventRelay, sent: SentAttempt
+    run: RequestRun, relay: EventRelay, sent: SentAttempt
 ) -> AsyncIterator[bytes]:
     """Yield a stream's events; resume it from its engine if it breaks.
 
@@ -220,7 +226,7 @@
 
 
 async def open_stream(
-    run: Run, server: str, address: str, stream: str, position: int
+    run: RequestRun, server: str, address: str, stream: str, position: int
 ) -> BackendAnswer:
     """Ask an engine for a stream from a position on.
 
@@ -248,7 +254,7 @@
         address: of the engine.
     """
 
-    def __init__(self, run: Run, stream: StreamId, address: str) -> None:
+    def __init__(self, run: RequestRun, stream: StreamId, address: str) -> None:
         self._run = run
         self._stream = stream
         self._address = address
@@ -299,7 +305,7 @@
             raise
 
 
-def _build_broken(run: Run, stream: StreamId, relay: EventRelay) -> bytes:
+def _build_broken(run: RequestRun, stream: StreamId, relay: EventRelay) -> bytes:
     last = "/".join(
         (
             stream.backend_server,
@@ -311,7 +317,7 @@
     return build_error_event("the answer broke off", "answer_lost", last)
 
 
-async def _cancel_stream(run: Run, sent: SentAttempt) -> None:
+async def _cancel_stream(run: RequestRun, sent: SentAttempt) -> None:
     """Tell the engine that nobody wants the stream, then free its place."""
     running = True
     try:
--- a/src/ramppin/router/request/keyed.py
+++ b/src/ramppin/router/request/keyed.py
@@ -33,7 +33,7 @@
 from ramppin.router.request.identity import parse_request_id
 from ramppin.router.request.outcome import Outcome
 from ramppin.router.request.problem import build_headers
-from ramppin.router.request.run import Run, SentAttempt
+from ramppin.router.request.run import RequestRun, SentAttempt
 
 CLAIM_TIMEOUT_S = 2.0
 """Seconds in which a claim must be read back from the log."""
@@ -53,7 +53,7 @@
     .. versionadded:: 0.1
     """
 
-    def __init__(self, run: Run, call: Call, body: bytes) -> None:
+    def __init__(self, run: RequestRun, call: Call, body: bytes) -> None:
         self._run = run
         self._call = call
         self._body = body
--- a/src/ramppin/router/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -54,7 +54,7 @@
     answer: BackendAnswer
 
 
-class Run:
+class RequestRun:
     """What lives for one request.
 
     Args:
