--- a/src/ramppin/router/request/chat.py
+++ b/src/ramppin/router/request/chat.py
@@ -180,14 +180,14 @@
 
     def _close(self, sent: SentAttempt, relay: EventRelay) -> None:
         sent.answer.close()
-        if relay.whole:
+        if relay.complete:
             self._run.free(sent.place)
         elif self._failed or self._resumable:
             # The engine goes on with the stream, so that it can be resumed.
             self._run.free(sent.place, failed=self._failed, running=True)
         else:
             self._cancel(sent)
-        self._run.finish(Outcome.RAN if relay.whole else Outcome.UNKNOWN)
+        self._run.finish(Outcome.RAN if relay.complete else Outcome.UNKNOWN)
 
     def _cancel(self, sent: SentAttempt) -> None:
         run = self._run
@@ -284,7 +284,7 @@
 
         def close() -> None:
             answer.close()
-            run.finish(Outcome.RAN if relay.whole else Outcome.UNKNOWN)
+            run.finish(Outcome.RAN if relay.complete else Outcome.UNKNOWN)
 
         return StreamedAnswer(
             self._relay(answer, relay),
--- a/src/ramppin/router/request/stream.py
+++ b/src/ramppin/router/request/stream.py
@@ -66,7 +66,7 @@
 
     def __init__(self, stream: StreamId, key: str, customer: str) -> None:
         self.position = stream.position
-        self.whole = False
+        self.complete = False
         self._prefix = f"id: {stream.backend_server}/{stream.stream}/".encode()
         self._suffix = f"/{stream.sign(key, customer)}".encode()
 
@@ -88,14 +88,14 @@
                 continue
             events, pending = pending[: end + 2], pending[end + 2 :]
             yield self._rename(events)
-        if not self.whole:
+        if not self.complete:
             raise BrokenAnswerError(
                 "the stream ended early", step="read answer", peer=answer.server
             )
 
     def _rename(self, events: bytes) -> bytes:
         if DONE in events:
-            self.whole = events.rstrip().endswith(DONE)
+            self.complete = events.rstrip().endswith(DONE)
         return _EVENT_ID.sub(self._build_id, events)
 
     def _build_id(self, match: re.Match[bytes]) -> bytes:
