--- a/src/ramppin/router/request/chat.py
+++ b/src/ramppin/router/request/chat.py
@@ -116,7 +116,7 @@
         sent = await self._run.send(self._build, chat=self._chat, returning=returning)
         if self._body.stream and sent.answer.status == 200:
             return self._answer_streamed(sent)
-        return await self._answer_whole(sent)
+        return await self._answer_unstreamed(sent)
 
     def _build(self, server: str, attempt: str) -> BackendRequest:
         headers = {
@@ -129,7 +129,7 @@
             "POST", COMPLETIONS_PATH, headers, self._data, self._run.remaining_s
         )
 
-    async def _answer_whole(self, sent: SentAttempt) -> Response:
+    async def _answer_unstreamed(self, sent: SentAttempt) -> Response:
         run = self._run
         try:
             content = await sent.answer.read()
