--- a/src/ramppin/router/request/chat.py
+++ b/src/ramppin/router/request/chat.py
@@ -175,7 +175,7 @@
         except BrokenAnswerError as error:
             self._failed = True
             self._run.note("relay", f"broken: {error.message}", peer=error.peer)
-            yield _build_broken(self._run, stream, relay)
+            yield _build_broken_event(self._run, stream, relay)
             raise
 
     def _close(self, sent: SentAttempt, relay: EventRelay) -> None:
@@ -301,11 +301,11 @@
             async for part in relay.relay(answer):
                 yield part
         except BrokenAnswerError:
-            yield _build_broken(self._run, self._stream, relay)
+            yield _build_broken_event(self._run, self._stream, relay)
             raise
 
 
-def _build_broken(run: RequestRun, stream: StreamId, relay: EventRelay) -> bytes:
+def _build_broken_event(run: RequestRun, stream: StreamId, relay: EventRelay) -> bytes:
     last = "/".join(
         (
             stream.backend_server,
