--- a/src/ramppin/router/request/stream.py
+++ b/src/ramppin/router/request/stream.py
@@ -87,13 +87,13 @@
                     )
                 continue
             events, pending = pending[: end + 2], pending[end + 2 :]
-            yield self._rename(events)
+            yield self._rewrite_ids(events)
         if not self.complete:
             raise BrokenAnswerError(
                 "the stream ended early", step="read answer", peer=answer.server
             )
 
-    def _rename(self, events: bytes) -> bytes:
+    def _rewrite_ids(self, events: bytes) -> bytes:
         if DONE in events:
             self.complete = events.rstrip().endswith(DONE)
         return _EVENT_ID.sub(self._build_id, events)
