--- a/src/ramppin/router/request/claimholder.py
+++ b/src/ramppin/router/request/claimholder.py
@@ -117,10 +117,10 @@
     if held.answer:
         answer = held.answer
         return ClaimReply(call, "ran", answer.status, answer.headers, answer.body)
-    return ClaimReply(call, _describe(held_claims, held, taker, own=own))
+    return ClaimReply(call, _hand_over_or_report(held_claims, held, taker, own=own))
 
 
-def _describe(
+def _hand_over_or_report(
     held_claims: HeldClaims, held: HeldClaim, taker: str, *, own: bool
 ) -> str:
     if held.state is ClaimState.IDLE and own:
