--- a/src/ramppin/router/request/claimholder.py
+++ b/src/ramppin/router/request/claimholder.py
@@ -36,7 +36,7 @@
 POLL_S = 0.02
 """Seconds between two checks of whether a claim held here still runs."""
 
-UNSEEN_S = 3.0
+LOG_READ_TIMEOUT_S = 3.0
 """How long a claim's holder waits to read of it from the log itself."""
 
 
@@ -106,7 +106,7 @@
     """
     left = wait_s
     # The asker may have read the claim from the log before this VM did.
-    unseen = min(wait_s, UNSEEN_S)
+    unseen = min(wait_s, LOG_READ_TIMEOUT_S)
     held = held_claims.find(key)
     while left > 0 and (held.running if held else wait_s - left < unseen):
         await asyncio.sleep(POLL_S)
