--- a/src/ramppin/router/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -92,7 +92,7 @@
         self.policy: RequestPolicy = settings.resolve_request(service, customer, route)
         self.pool = settings.tree.services[service].pool
         self.sent = False
-        self._cancels = False
+        self._cancellable = False
         self._orphan_hold_s = settings.resolve_pool(self.pool).orphan_hold_s
         self.started = context.clock()
         limit = self.policy.deadline_s
@@ -155,7 +155,7 @@
         *,
         chat: int = 0,
         returning: bool = False,
-        cancels: bool = False,
+        cancellable: bool = False,
     ) -> SentAttempt:
         """Send the request, again only where no byte of it left.
 
@@ -163,12 +163,12 @@
             build: makes the request for a backend server and attempt.
             chat: the chat's key; 0 for none.
             returning: whether the chat was here before.
-            cancels: whether the backend server can be told to cancel it.
+            cancellable: whether the backend server can be told to cancel it.
 
         Raises:
             RefusedError: it is given up on.
         """
-        self._cancels = cancels
+        self._cancellable = cancellable
         exclude: tuple[str, ...] = ()
         number = 0
         while True:
@@ -273,7 +273,7 @@
         attempt: str,
     ) -> None:
         """Hold the place of a request given up on until it truly ended."""
-        if self._cancels:
+        if self._cancellable:
             with contextlib.suppress(RamppinError):
                 await self.context.backends.cancel_stream(address, attempt)
         try:
