--- a/src/ramppin/router/request/budget.py
+++ b/src/ramppin/router/request/budget.py
@@ -19,7 +19,7 @@
         """Note a request that may cost ``ratio`` of a retry."""
         self._balance = min(MAX_BALANCE, self._balance + ratio)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Return whether a retry may be made, and count it."""
         if self._balance < 1.0:
             return False
--- a/src/ramppin/router/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -292,7 +292,7 @@
             code, why = "deadline", "the deadline has passed"
         elif number > self.policy.retries:
             code, why = "unreachable", "no attempt is left"
-        elif not self.context.retries.take():
+        elif not self.context.retries.try_spend():
             code, why = "retry_budget", "the budget of retries is spent"
         else:
             self.context.metrics.retries.labels(self.service).inc()
