--- a/src/ramppin/router/request/call.py
+++ b/src/ramppin/router/request/call.py
@@ -68,7 +68,7 @@
         Raises:
             RefusedError: there is none.
         """
-        sent = await self._run.send(self._build)
+        sent = await self._run.send(self._build_request)
         headers = build_answer_headers(self._run, sent)
         response = StreamedAnswer(
             self._relay(sent),
@@ -79,7 +79,7 @@
         add_cookies(response, list_cookies(sent.answer))
         return response
 
-    def _build(self, server: str, attempt: str) -> BackendRequest:
+    def _build_request(self, server: str, attempt: str) -> BackendRequest:
         call = self._call
         has_body = any(
             name in self._request.headers
--- a/src/ramppin/router/request/chat.py
+++ b/src/ramppin/router/request/chat.py
@@ -113,12 +113,14 @@
             RefusedError: there is none.
         """
         returning = is_returning(self._body)
-        sent = await self._run.send(self._build, chat=self._chat, returning=returning)
+        sent = await self._run.send(
+            self._build_request, chat=self._chat, returning=returning
+        )
         if self._body.stream and sent.answer.status == 200:
             return self._answer_streamed(sent)
         return await self._answer_unstreamed(sent)
 
-    def _build(self, server: str, attempt: str) -> BackendRequest:
+    def _build_request(self, server: str, attempt: str) -> BackendRequest:
         headers = {
             "Content-Type": "application/json",
             "X-Request-Id": attempt,
--- a/src/ramppin/router/request/keyed.py
+++ b/src/ramppin/router/request/keyed.py
@@ -160,7 +160,7 @@
         run = self._run
         held_claims = run.context.held_claims
         try:
-            sent = await run.send(self._build)
+            sent = await run.send(self._build_request)
             answer = await self._read(sent)
         except RefusedError as error:
             if error.outcome == Outcome.NOT_RUN:
@@ -192,7 +192,7 @@
         headers += [(COOKIE_HEADER, value) for value in list_cookies(sent.answer)]
         return StoredAnswer(sent.answer.status, tuple(headers), body)
 
-    def _build(self, server: str, attempt: str) -> BackendRequest:
+    def _build_request(self, server: str, attempt: str) -> BackendRequest:
         call = self._call
         return BackendRequest(
             call.method,
