--- a/src/ramppin/router/request/budget.py
+++ b/src/ramppin/router/request/budget.py
@@ -1,13 +1,13 @@
-"""A budget of retries, so that a failure does not multiply the load."""
+"""A token bucket that limits retries, so that a failure does not multiply load."""
 
 from __future__ import annotations
 
 MAX_BALANCE = 10.0
-"""Retries that a quiet time may save up."""
+"""Largest number of retries that can accumulate."""
 
 
 class RetryBudget:
-    """Allows retries in proportion to requests.
+    """Allows retries in proportion to the number of requests.
 
     .. versionadded:: 0.1
     """
@@ -16,11 +16,11 @@
         self._balance = MAX_BALANCE
 
     def note_request(self, ratio: float) -> None:
-        """Note a request that may cost ``ratio`` of a retry."""
+        """Add ``ratio`` of a retry to the balance for a new request."""
         self._balance = min(MAX_BALANCE, self._balance + ratio)
 
     def try_spend(self) -> bool:
-        """Return whether a retry may be made, and count it."""
+        """Spend one retry; return False if the balance is below one."""
         if self._balance < 1.0:
             return False
         self._balance -= 1.0
