--- a/src/ramppin/router/request/placement.py
+++ b/src/ramppin/router/request/placement.py
@@ -1,4 +1,4 @@
-"""The messages of placement: what is asked of an allocator and answered."""
+"""Requests to an allocator for a place on a backend server, and its decisions."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaceId:
-    """A place's identity: the VM that holds it, and its number there."""
+    """Identity of a place: the VM that holds it and a number unique on that VM."""
 
     vm: str
     number: int
@@ -19,17 +19,17 @@
     """A request for a place on one backend server of a pool.
 
     Attributes:
-        place: its identity.
-        chat: the chat's key; 0 for a request that belongs to no chat.
-        customer: who asks.
-        weight: the customer's share in a contest.
-        max_in_flight: the customer's limit in the pool; 0 for none.
-        wait_for_cached_s: longest wait for the chat's own backend server.
-        max_wait_s: longest wait for any place.
-        priority: of waiting requests of one customer, higher goes first.
-        returning: whether the chat has been here before.
-        exclude: backend servers that this request has failed on.
-        failure_domains: only these; empty for any.
+        place: identity of the requested place.
+        chat: key of the chat; 0 for a request outside a chat.
+        customer: the customer that sent the request.
+        weight: relative share of the customer when requests compete for places.
+        max_in_flight: limit of the customer's requests in the pool; 0 for no limit.
+        wait_for_cached_s: maximum wait for the backend server that caches the chat.
+        max_wait_s: maximum wait for a place on any backend server.
+        priority: order among one customer's waiting requests; higher goes first.
+        returning: whether an earlier request of the chat was answered.
+        exclude: backend servers on which an attempt of this request failed.
+        failure_domains: failure domains to choose from; empty for all.
     """
 
     place: PlaceId
@@ -46,7 +46,7 @@
 
 
 class Reason(StrEnum):
-    """Why a place was granted where it was, or refused."""
+    """Why the allocator chose a backend server, or refused a place."""
 
     FIRST_CHOICE = "first_choice"
     HOME = "home"
@@ -61,17 +61,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """A place on a backend server.
+    """A granted place on a backend server.
 
     Attributes:
-        place: the place's identity, as asked for.
-        backend_server: where the request may go.
-        reason: why there.
-        load: requests on the backend server, this one included.
-        cap: most it may hold now.
-        total: requests in the pool, this one included.
-        members: backend servers that the mean is taken over.
-        waited_s: how long the request waited.
+        place: identity of the place, copied from the request.
+        backend_server: the backend server to send the request to.
+        reason: why this backend server was chosen.
+        load: requests on the backend server, including this one.
+        cap: maximum number of requests on the backend server at present.
+        total: requests in the pool, including this one.
+        members: number of backend servers over which the mean load is taken.
+        waited_s: time that the request waited, in seconds.
     """
 
     place: PlaceId
@@ -86,12 +86,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """No place: the request is given up on at once.
+    """A refused place; the request fails without further waiting.
 
     Attributes:
-        place: the place's identity, as asked for.
-        reason: why.
-        retry_after_s: when it is worth coming back.
+        place: identity of the place, copied from the request.
+        reason: why no place was granted.
+        retry_after_s: seconds after which the caller may retry.
     """
 
     place: PlaceId
