--- a/src/ramppin/router/request/call.py
+++ b/src/ramppin/router/request/call.py
@@ -1,4 +1,4 @@
-"""A call of a plain service, repeatable or not."""
+"""Requests to services other than chat, and helpers for their answers."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call as it came.
+    """A caller's request to a service, parsed from HTTP.
 
     Attributes:
         method: the HTTP method.
-        path: path and query below the service.
-        headers: those that go on to the backend server.
+        path: path and query relative to the service.
+        headers: the headers to forward to the backend server.
         key: the caller's ``Idempotency-Key``, or ``""``.
-        issued: when the key was made; None without a key.
+        issued: time at which the key was issued; None if there is no key or no time.
     """
 
     method: str
@@ -44,12 +44,12 @@
 
 
 class CallRun:
-    """What lives for a call without a key: it is sent once.
+    """Forwards a call without an idempotency key and streams the answer back.
 
     Args:
-        run: the request.
-        call: the call.
-        request: the caller's HTTP request, for its body.
+        run: state of the request.
+        call: the call to forward.
+        request: the caller's HTTP request, from which the body is streamed.
 
     .. versionadded:: 0.1
     """
@@ -63,10 +63,10 @@
         self._failed = False
 
     async def answer(self) -> Response:
-        """Return the answer, streamed.
+        """Return the answer as a stream.
 
         Raises:
-            RefusedError: there is none.
+            RefusedError: no backend server answered.
         """
         sent = await self._run.send(self._build_request)
         headers = build_answer_headers(self._run, sent)
@@ -120,23 +120,23 @@
 
 
 def list_cookies(answer: BackendAnswer) -> list[str]:
-    """Return the cookies of an answer, the one header that comes repeated."""
+    """Return the values of ``Set-Cookie``, the only header kept as several fields."""
     return answer.headers.getall(COOKIE_HEADER, [])
 
 
 def add_cookies(response: Response, cookies: Iterable[str]) -> None:
-    """Add each cookie as a header of its own (RFC 6265, section 3)."""
+    """Add each cookie as a separate header field (RFC 6265, section 3)."""
     for cookie in cookies:
         response.headers.append(COOKIE_HEADER, cookie)
 
 
 def classify_status(status: int) -> Outcome:
-    """Return what a whole answer's status says of its request."""
+    """Return the outcome of a completely answered request; 5xx gives ``UNKNOWN``."""
     return Outcome.RAN if status < 500 else Outcome.UNKNOWN
 
 
 def build_answer_headers(run: RequestRun, sent: SentAttempt) -> dict[str, str]:
-    """Return the headers that a backend server's answer goes on with."""
+    """Return the headers of a backend server's answer for the caller."""
     answer = sent.answer
     headers = filter_headers(answer.headers, "date", "server", COOKIE_HEADER)
     headers |= build_headers(
