--- a/src/ramppin/router/request/keyed.py
+++ b/src/ramppin/router/request/keyed.py
@@ -1,4 +1,4 @@
-"""A call with a key: over the whole fleet it runs at most once."""
+"""Calls with an idempotency key, which run at most once in the whole fleet."""
 
 from __future__ import annotations
 
@@ -36,19 +36,19 @@
 from ramppin.router.request.run import RequestRun, SentAttempt
 
 CLAIM_TIMEOUT_S = 2.0
-"""Seconds in which a claim must be read back from the log."""
+"""Maximum time until a claim is read back from the log."""
 
 LOG_UNAVAILABLE_RETRY_AFTER_S = 5.0
-"""Seconds after which a call with a key may come back while the log is away."""
+"""Retry-After of a call with a key while the log is unavailable."""
 
 
 class KeyedRun:
-    """What lives for a call with a key: over the whole fleet it runs once.
+    """Runs a call with an idempotency key, or returns the answer of an earlier run.
 
     Args:
-        run: the request.
-        call: the call.
-        body: its whole body.
+        run: state of the request.
+        call: the call to forward.
+        body: the complete request body.
 
     .. versionadded:: 0.1
     """
@@ -61,10 +61,10 @@
         self._digest = hash_request(call.method, call.path, body)
 
     async def answer(self) -> Response:
-        """Return the answer of the one run, whoever made it.
+        """Return the answer of the only run, which may be another request's.
 
         Raises:
-            RefusedError: there is none.
+            RefusedError: the call is not accepted, or its answer is not available.
         """
         self._check_age()
         claim = self._run.context.claims.find(self._key)
@@ -102,10 +102,10 @@
             )
 
     async def _run_new(self) -> Response:
-        """Claim the key, then get a place, then send.
+        """Claim the key, then acquire a place, then send the call.
 
-        The claim comes first: a place that waits for the log would count as
-        load that no backend server has.
+        The claim comes first: a place held while waiting for the log would count
+        as load although the backend server is not processing the request.
         """
         run = self._run
         claim = await self._claim()
@@ -149,10 +149,10 @@
                 hint="use a new key for a new request",
             )
 
-    # -- this VM runs it --------------------------------------------------
+    # -- this request runs the call ---------------------------------------
 
     async def _send(self) -> Response:
-        # The run goes on if its caller leaves, so that a repeat is answered.
+        # Continues if the caller disconnects, so that a repeat gets the answer.
         task = self._run.context.spawn(self._send_and_store())
         return self._respond(await asyncio.shield(task))
 
@@ -203,7 +203,7 @@
             fresh=True,
         )
 
-    # -- somebody else ran it, or runs it ---------------------------------
+    # -- another request claimed the key ----------------------------------
 
     async def _await_claim_result(self, claim: Claim) -> Response:
         self._check_digest(claim)
