--- a/src/ramppin/router/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -1,4 +1,4 @@
-"""One request from its arrival to its answer or refusal."""
+"""State and sending of one request, from arrival to answer or refusal."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 from ramppin.router.version.tree import RequestPolicy, Settings
 
 RETRY_AFTER_FAILURE_S = 1.0
-"""Seconds after which a caller may come back after a failure."""
+"""Retry-After of a request that failed at a backend server."""
 
 OWNER_REPLY_MARGIN_S = 0.5
-"""How much longer than the wait to wait for the owner's refusal."""
+"""Time to wait for the shard owner's refusal after the maximum wait has passed."""
 
 _REFUSALS = {
     Reason.QUEUE_FULL: (429, "too many requests wait for the pool"),
@@ -39,13 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SentAttempt:
-    """An attempt whose answer's head has come.
+    """An attempt whose response headers have arrived.
 
     Attributes:
-        place: the place that it holds.
-        address: of the backend server.
-        attempt: its id at the backend server.
-        answer: the answer.
+        place: the place that the attempt holds.
+        address: address of the backend server.
+        attempt: id of the attempt, sent to the backend server.
+        answer: the answer, whose body is still to be read.
     """
 
     place: Place
@@ -55,19 +55,19 @@
 
 
 class RequestRun:
-    """What lives for one request.
+    """State of one request: its settings, deadline, trace and attempts.
 
     Args:
-        context: what it may use.
-        settings: the version by which it is decided, to its end.
-        request_id: its id.
-        customer: who asks.
-        service: what for.
+        context: components of the process that the request uses.
+        settings: settings in force when the request arrived; used until it ends.
+        request_id: id of the request.
+        customer: the customer that sent the request.
+        service: the requested service.
         route: index of the route, or -1.
-        deadline_s: the caller's own deadline; None for none.
+        deadline_s: the caller's deadline in seconds from now; None for none.
 
     Attributes:
-        sent: whether a byte of the request may have left.
+        sent: whether a byte of the request may have been sent.
 
     .. versionadded:: 0.1
     """
@@ -114,17 +114,17 @@
         return max(0.0, self.deadline - self.context.clock())
 
     def note(self, step: str, finding: str, *rules: str, peer: str = "") -> None:
-        """Add a step to the trace."""
+        """Add a step to the trace, with the rules it applied."""
         at = self.context.clock() - self.started
         self.trace.add(at, step, finding, *rules, peer=peer)
 
     async def place(
         self, chat: int, *, returning: bool = False, exclude: tuple[str, ...] = ()
     ) -> Place:
-        """Get a place.
+        """Acquire a place on a backend server.
 
         Raises:
-            RefusedError: there is none.
+            RefusedError: no place was granted.
         """
         wanted = Wanted(
             self.pool,
@@ -146,7 +146,7 @@
     def free(
         self, place: Place, *, failed: bool = False, running: bool = False
     ) -> None:
-        """Give a place back; see ``Placer.free``."""
+        """Release a place; see ``Placer.free``."""
         self.context.placer.free(place, failed=failed, running=running)
 
     async def send(
@@ -157,16 +157,17 @@
         returning: bool = False,
         cancellable: bool = False,
     ) -> SentAttempt:
-        """Send the request, again only where no byte of it left.
+        """Send the request; retry only if no byte of it was sent.
 
         Args:
-            build: makes the request for a backend server and attempt.
-            chat: the chat's key; 0 for none.
-            returning: whether the chat was here before.
-            cancellable: whether the backend server can be told to cancel it.
+            build: builds the request for a backend server and an attempt id.
+            chat: key of the chat; 0 for none.
+            returning: whether an earlier request of the chat was answered.
+            cancellable: whether the backend server accepts a request to cancel.
 
         Raises:
-            RefusedError: it is given up on.
+            RefusedError: no place was granted, the retries are spent, or the
+                answer was lost.
         """
         self._cancellable = cancellable
         exclude: tuple[str, ...] = ()
@@ -182,7 +183,7 @@
                 self._check_retry(error, number)
 
     def finish(self, outcome: Outcome, code: str = "") -> None:
-        """Note the request's end; only the first call counts."""
+        """Record the outcome of the request; later calls have no effect."""
         if not self.trace.outcome:
             self.trace.outcome = outcome.value
             self.note(
@@ -193,7 +194,7 @@
             ).inc()
 
     def find_address(self, server: str) -> str | None:
-        """Return a backend server's address, or None if it isn't known."""
+        """Return the address of a backend server, or None if the settings lack it."""
         node = self.settings.tree.pools[self.pool].backend_servers.get(server)
         return node.address if node else None
 
@@ -249,7 +250,7 @@
         address: str,
         attempt: str,
     ) -> BackendAnswer:
-        """Return the answer's head; one given up on is awaited in the background."""
+        """Await the response headers; drain an abandoned attempt in the background."""
         server = place.grant.backend_server
         try:
             await asyncio.wait({sending}, timeout=self.remaining_s)
@@ -272,7 +273,7 @@
         address: str,
         attempt: str,
     ) -> None:
-        """Hold the place of a request given up on until it truly ended."""
+        """Hold the place of an abandoned attempt until it has ended at the server."""
         if self._cancellable:
             with contextlib.suppress(RamppinError):
                 await self.context.backends.cancel_stream(address, attempt)
