--- a/src/ramppin/gateway/process/recovery/__init__.py
+++ b/src/ramppin/gateway/process/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway knows again after a loss: replicas of the log, peers, files."""
+"""Replicas of the tables that a gateway follows, read from the log, peers or a file."""
--- a/src/ramppin/gateway/process/recovery/filetables.py
+++ b/src/ramppin/gateway/process/recovery/filetables.py
@@ -1,6 +1,6 @@
 """Tables in a file of JSON with comments, for a gateway without a shared log.
 
-The file is read again when it changes. Its parts::
+The file is reloaded when it changes. Its parts::
 
     {
       "routing": {...},           // see ramppin.gateway.version.routingfile
@@ -29,7 +29,7 @@
 from ramppin.gateway.process.routing.evacuation import EVACUATION_PREFIX
 
 POLL_S = 0.2
-"""Seconds between two checks of whether the file changed."""
+"""Seconds between two checks for a change of the file."""
 
 ROUTING_PART = "routing"
 SERVERS_PART = "backend_servers"
@@ -38,13 +38,14 @@
 
 
 class FileTable(RecordSource):
-    """One part of a file, as a table.
+    """One part of the file, presented as a table of records.
 
-    Offsets count the changes that this process has seen.
+    Offsets count the changes that this process has read.
 
     Args:
         path: the file.
-        part: ``"routing"`` for one record, ``"backend_servers"`` for one a server.
+        part: ``"routing"`` for the record of the settings and one record per evacuated
+            failure domain, ``"backend_servers"`` for one record per server.
 
     .. versionadded:: 0.2
     """
@@ -57,14 +58,14 @@
         self._position = 0
 
     async def read_newest(self, *, timeout_s: float = 0.0) -> RecordBatch:
-        """Return all entries."""
+        """Return a record for each entry."""
         await asyncio.sleep(0)
         self._changed_at = self._read_mtime()
         self._known = self._read()
         return self._build_batch({**self._known})
 
     async def read_after(self, position: int, *, wait_s: float) -> RecordBatch:
-        """Return the entries that changed; wait for a change."""
+        """Return the entries that changed; wait for a change if there is none."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + wait_s
         while True:
@@ -112,18 +113,18 @@
             return {SETTINGS_KEY: json.dumps(part).encode()} | evacuated
         if not isinstance(part, dict):
             raise LogUnavailableError(
-                f"{self._part}: an object is needed", step="read", peer=str(self._path)
+                f"{self._part}: must be an object", step="read", peer=str(self._path)
             )
         return {key: json.dumps(value).encode() for key, value in part.items()}
 
     def _list_evacuated(self, document: Mapping[str, object]) -> dict[str, bytes]:
-        """Return the records of the failure domains that the file lists as emptied."""
+        """Return the records of the evacuated failure domains in the file."""
         domains = document.get(EVACUATED_PART, [])
         if not isinstance(domains, list) or not all(
             isinstance(d, str) for d in domains
         ):
             raise LogUnavailableError(
-                f"{EVACUATED_PART}: a list of names is needed",
+                f"{EVACUATED_PART}: must be a list of names",
                 step="read",
                 peer=str(self._path),
             )
@@ -131,7 +132,7 @@
 
 
 class LocalTable(RecordLog):
-    """A table that only this process sees.
+    """A table in memory that is private to this process.
 
     .. versionadded:: 0.2
     """
@@ -140,7 +141,7 @@
         self._records: list[Record] = []
 
     async def append(self, key: str, value: bytes) -> None:
-        """Write a record."""
+        """Append a record."""
         await asyncio.sleep(0)
         self._records.append(Record(key, value, len(self._records)))
 
@@ -151,6 +152,6 @@
         return RecordBatch(tuple(newest.values()), len(self._records))
 
     async def read_after(self, position: int, *, wait_s: float) -> RecordBatch:
-        """Return what follows a position after the wait."""
+        """Return the records after a position, at the end of the wait."""
         await asyncio.sleep(wait_s)
         return RecordBatch(tuple(self._records[position:]), len(self._records))
--- a/src/ramppin/gateway/process/recovery/filewatch.py
+++ b/src/ramppin/gateway/process/recovery/filewatch.py
@@ -1,4 +1,4 @@
-"""Notices that a file changed, with or without a signal."""
+"""Polls a file for changes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FileWatch:
-    """Calls back when a file was changed.
+    """Calls a function when a file has changed.
 
     Args:
         path: the file.
@@ -26,14 +26,14 @@
         self._seen = self._measure()
 
     def check(self) -> None:
-        """Call back if the file changed since the last look."""
+        """Call ``on_change`` if the file has changed since the last check."""
         found = self._measure()
         if found != self._seen:
             self._seen = found
             self._on_change()
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Check the file periodically until cancelled."""
         while True:
             await asyncio.sleep(PERIOD_S)
             self.check()
@@ -42,6 +42,6 @@
         try:
             found = self._path.stat()
         except OSError:
-            # A file that is gone counts as changed; whoever reads it says why.
+            # A missing file counts as changed; its reader reports the error.
             return 0, 0
         return found.st_mtime_ns, found.st_size
--- a/src/ramppin/gateway/process/recovery/follower.py
+++ b/src/ramppin/gateway/process/recovery/follower.py
@@ -1,7 +1,7 @@
-"""Keeps a replica current by reading the shared log again and again.
+"""Keeps the replica of a table current by polling the shared log.
 
-Owns whether the log is reachable for one table, and since when. Peers are asked
-elsewhere (:mod:`~.peerreader`) while it is not.
+Records whether the log is reachable for the table, and when it became so. While it is
+not, :mod:`~.peerreader` requests the records from peers.
 """
 
 from __future__ import annotations
@@ -20,38 +20,38 @@
 LOG = logging.getLogger(__name__)
 
 FIRST_BACKOFF_S = 0.1
-"""Seconds before a failed read is repeated; doubled each time, spread by 0.3."""
+"""Seconds before a failed read is retried; doubled each time, with a jitter of 0.3."""
 
 LONGEST_BACKOFF_S = 0.6
-"""Seconds of the longest pause between two failed reads: settings must be in force
-again within 2 s of the log's return."""
+"""Maximum pause between two failed reads, in seconds: settings must be in force within
+2 s of the log's recovery."""
 
 FIRST_READ_TIMEOUT_S = 3.0
 """Seconds that the first read may take; doubled at each failure.
 
-All VMs may start together and share what the log sends in a second; a read that is
-given up then and begun anew takes from the others and never ends.
+VMs that start together share the log's bandwidth. If each gave up early and retried,
+the repeated reads would slow down the others, and none would finish.
 """
 
 LONGEST_READ_TIMEOUT_S = 12.0
-"""Seconds that any first read may take."""
+"""Upper limit of the timeout of the first read, in seconds."""
 
 READ_AGAIN_TIMEOUT_S = 1.0
-"""Seconds that a later read of a whole table may take; what was known still serves."""
+"""Seconds that a later read of the whole table may take; the replica stays in use."""
 
 RELAYED_INTERVAL_S = 0.05
-"""Seconds of pause after an answer of a relay, whose own reads are the ones paced."""
+"""Seconds between two reads through a relay, which limits the rate of its own reads."""
 
 
 class Follower:
-    """Reads a source again and again into a replica.
+    """Polls a source and applies its records to a replica.
 
     Args:
-        replica: what is kept current.
-        source: where its records lie.
-        interval_s: shortest time between two reads.
+        replica: the replica to keep current.
+        source: the source of its records.
+        interval_s: pause between two direct reads of the log.
         wait_s: longest time that a read waits at the end of the log.
-        generator: spreads the retries of many VMs.
+        generator: source of the jitter that spreads the retries of many VMs.
         note_first: called once, with whether the first read succeeded.
 
     .. versionadded:: 0.2
@@ -102,7 +102,7 @@
             await self._pause(relayed=relayed)
 
     async def _pause(self, *, relayed: bool) -> None:
-        """Wait between two reads that succeeded."""
+        """Wait between two successful reads."""
         interval_s = self._interval_s
         if relayed:
             interval_s = min(interval_s, RELAYED_INTERVAL_S)
@@ -117,7 +117,7 @@
             self._replica.replace(batch.records, batch.position, asked_at)
             self._complete = True
             return False
-        # After an outage the first answer must come at once, not after a wait.
+        # The first read after an outage must return at once, without a wait.
         wait_s = self._wait_s if self._reachable else 0.0
         batch = await self._source.read_after(self._replica.position, wait_s=wait_s)
         as_of = asked_at + batch.waited_s - batch.age_s
@@ -132,7 +132,7 @@
         return await self._source.read_newest(timeout_s=timeout_s)
 
     def choose_backoff_s(self) -> float:
-        """Return the pause after one more failed read, in seconds."""
+        """Return the pause after another failed read, in seconds."""
         pause_s = self._backoff_s * self._generator.uniform(0.7, 1.3)
         self._backoff_s = min(LONGEST_BACKOFF_S, self._backoff_s * 2)
         return pause_s
@@ -145,24 +145,24 @@
     def _note_lost(self, error: LogUnavailableError) -> None:
         if self._reachable:
             self._reachable = False
-            LOG.warning("log lost: %s", error, extra={"step": self._replica.name})
+            LOG.warning("log unavailable: %s", error, extra={"step": self._replica.name})
 
     def _note_regained(self) -> None:
         self._backoff_s = FIRST_BACKOFF_S
         if not self._reachable:
             self._reachable = True
             self.regained_at = asyncio.get_running_loop().time()
-            LOG.info("log regained", extra={"step": self._replica.name})
+            LOG.info("log available again", extra={"step": self._replica.name})
 
 
 @dataclass(frozen=True, slots=True)
 class FollowedTable:
-    """A replica and what keeps it current.
+    """A replica and the follower that keeps it current.
 
     Attributes:
         replica: the table's records.
         follower: reads them from the log.
-        read_cycle_s: longest time between the ends of two reads that succeed.
+        read_cycle_s: longest time between the ends of two successful reads.
     """
 
     replica: Replica
@@ -170,7 +170,7 @@
     read_cycle_s: float
 
     def is_stale(self, now: float) -> bool:
-        """Return whether peers must be asked for the table's records."""
+        """Return whether the table's records must be requested from peers."""
         return is_stale(
             reachable=self.follower.reachable,
             age_s=now - self.replica.confirmed_at,
--- a/src/ramppin/gateway/process/recovery/logmonitor.py
+++ b/src/ramppin/gateway/process/recovery/logmonitor.py
@@ -1,9 +1,9 @@
-"""What this VM's own calls to the shared log show: how many, and whether it is up.
+"""Counts this VM's calls to the shared log and reports whether the log is up.
 
-The log may ask a price for each call and refuses those over a rate, so operators see
-who calls for what. A log that turns this VM away may serve others: the fleet's VMs
-tell each other, so that one whose log is up reads it for those whose log is not. Owns
-the last outcomes; relies on the tables that it wraps.
+The log may charge for each call and refuses calls above a rate, so the calls are
+counted by table, kind and outcome for operators. A log that refuses
+this VM may serve others: each VM reports its state to the fleet, so that VMs with
+access are selected as relays.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 from ramppin.gateway.process.reporting.metrics import CounterTally
 
 FAILURES_UNTIL_DOWN = 2
-"""Calls in a row that must fail before the log counts as down: one connection may
-break while the log serves on, and every change of relays costs a call of each VM."""
+"""Consecutive failed calls after which the log counts as down: a single connection may
+break while the log is up, and each change of relays costs one call of every VM."""
 
 DOWN_EXPIRY_S = 10.0
 """Seconds after the last failure for which the log counts as down: a VM that no longer
-calls it would never learn of its return."""
+calls the log would not detect its recovery."""
 
 
 class LogCall(Enum):
-    """What a call to the log is for; the value is its label."""
+    """The purpose of a call to the log; the value is a label of the metric."""
 
     FULL_TABLE = "whole table"
     NEW_RECORDS = "news"
@@ -39,10 +39,10 @@
 
 
 class LogMonitor:
-    """Counts this VM's calls to the log, and tells whether it is up.
+    """Counts this VM's calls to the log, and reports whether it is up.
 
     Args:
-        calls: the metric, by table, kind and outcome.
+        calls: the counter of calls, by table, kind and outcome.
 
     Attributes:
         first_answer: set once the log has answered a call.
@@ -57,28 +57,28 @@
         self._failed_at = float("-inf")
 
     def is_up(self, now: float) -> bool:
-        """Return whether the log served this VM's last calls."""
+        """Return whether the log counts as up for this VM."""
         if self._failures < FAILURES_UNTIL_DOWN:
             return True
         return now - self._failed_at > DOWN_EXPIRY_S
 
     def failed_within(self, duration_s: float, now: float) -> bool:
-        """Return whether the last call failed, not longer ago than that."""
+        """Return whether the last call failed, and did so within a duration."""
         return self._failures > 0 and now - self._failed_at <= duration_s
 
     def note_answered(self) -> None:
-        """Note an answer."""
+        """Note that the log answered a call."""
         self._failures = 0
         self.first_answer.set()
 
     def note_failed(self, now: float) -> None:
-        """Note a call without an answer."""
+        """Note that a call got no answer."""
         self._failures += 1
         self._failed_at = now
 
     @contextmanager
     def watch(self, table: str, call: LogCall) -> Iterator[None]:
-        """Note the outcome of a call made meanwhile."""
+        """Note the outcome of the call that the context encloses."""
         outcome = "failed"
         try:
             yield
@@ -96,12 +96,12 @@
 
 
 class MonitoredSource(RecordSource):
-    """Passes reads on and notes their outcome.
+    """Delegates reads to a source and notes their outcomes.
 
     Args:
         table: the table's name.
-        source: the table itself.
-        monitor: takes the outcomes.
+        source: the table in the log.
+        monitor: notes the outcomes.
 
     .. versionadded:: 0.2
     """
@@ -117,18 +117,18 @@
             return await self._source.read_newest(timeout_s=timeout_s)
 
     async def read_after(self, position: int, *, wait_s: float) -> RecordBatch:
-        """Return what follows a position; wait for it if there is nothing."""
+        """Return the records after a position; wait if there are none."""
         with self._monitor.watch(self._table, LogCall.NEW_RECORDS):
             return await self._source.read_after(position, wait_s=wait_s)
 
 
 class MonitoredLog(MonitoredSource, RecordLog):
-    """Passes reads and writes on and notes their outcome.
+    """Delegates reads and writes to a log and notes their outcomes.
 
     Args:
         table: the table's name.
-        log: the table itself.
-        monitor: takes the outcomes.
+        log: the table in the log.
+        monitor: notes the outcomes.
 
     .. versionadded:: 0.2
     """
--- a/src/ramppin/gateway/process/recovery/peeranswers.py
+++ b/src/ramppin/gateway/process/recovery/peeranswers.py
@@ -1,6 +1,6 @@
-"""Answers the questions of peers for records.
+"""Answers requests of peers for records from the replicas of this VM.
 
-Relies on the replicas of this VM, and says with each answer how old they are.
+Each answer contains the age of the replicas.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 LOG = logging.getLogger(__name__)
 
 MAX_WAIT_MS = 20_000
-"""Longest wait of one question, in milliseconds; above any that a VM asks for."""
+"""Maximum wait of a request, in milliseconds; VMs request shorter waits."""
 
 UNKNOWN_AGE_MS = 1_000_000_000
-"""Milliseconds that stand for an age without bound."""
+"""Upper limit of the age in an answer, in milliseconds; stands for any larger age."""
 
 
 class RecordsResponder(Responder):
-    """Answers peers' questions.
+    """Answers requests for records that arrive on one connection.
 
     Args:
         connection: the peer's connection.
-        replicas: by name, what this VM knows.
+        replicas: the replicas of this VM, by name.
 
     .. versionadded:: 0.2
     """
@@ -49,14 +49,14 @@
         self._replicas = replicas
 
     def accept_request(self, request: CallerRequest) -> None:
-        """Answer at once, or when there is news."""
+        """Answer at once, or once there are new records or the wait has ended."""
         if request.target != RECORDS_TARGET.encode():
             self._connection.send_answer(404, [], b"")
             return
         try:
             question = decode_question(request.body)
         except msgspec.MsgspecError as error:
-            LOG.warning("unreadable question: %s", error, extra={"step": "records"})
+            LOG.warning("invalid request: %s", error, extra={"step": "records"})
             self._connection.send_answer(400, [], b"")
             return
         if question.wait_ms > 0 and not self._has_new_records(question):
@@ -65,10 +65,10 @@
             self._connection.send_answer(200, [], self._build_answer(question))
 
     def accept_disconnect(self) -> None:
-        """Nothing is in flight here."""
+        """Do nothing: there is no exchange with a backend server."""
 
     def accept_backpressure(self, *, paused: bool) -> None:
-        """Answers here are small."""
+        """Do nothing: answers are small and sent whole."""
 
     def _has_new_records(self, question: PeerQuestion) -> bool:
         for name, position in question.positions.items():
@@ -78,7 +78,7 @@
         return False
 
     def _wait(self, question: PeerQuestion) -> None:
-        """Answer once a table has moved, or the wait is over."""
+        """Answer once a table has advanced or the wait is over."""
         loop = asyncio.get_running_loop()
         replicas = [
             self._replicas[name]
@@ -92,7 +92,7 @@
 
         def answer_soon() -> None:
             stop_waiting()
-            # Later in the loop: the records are applied by then.
+            # Deferred to the next loop iteration: the records are applied by then.
             loop.call_soon(answer)
 
         def answer_on_timeout() -> None:
--- a/src/ramppin/gateway/process/recovery/peermessages.py
+++ b/src/ramppin/gateway/process/recovery/peermessages.py
@@ -1,7 +1,7 @@
-"""The messages with which VMs ask each other for records, and their bytes.
+"""The messages with which VMs request records from each other, and their encoding.
 
-MessagePack through msgspec, each checked against its type while decoding. A large
-answer is compressed; its first byte says so.
+Messages are encoded as MessagePack by msgspec, which validates them while decoding. The
+first byte of an answer marks whether it is compressed.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 RECORDS_TARGET = "/records"
 
 COMPRESS_ABOVE_BYTES = 2_000
-"""Size above which an answer is compressed: below it fits two packets."""
+"""Size above which an answer is compressed: a smaller one fits in two packets."""
 
 COMPRESSION_LEVEL = 1
-"""zlib's fastest level: processor time is dear on small VMs."""
+"""The fastest level of zlib: CPU time is scarce on small VMs."""
 
 PLAIN_MARK = b"p"
 COMPRESSED_MARK = b"z"
 
 
 class PeerRecord(msgspec.Struct, array_like=True, frozen=True):
-    """A record as peers send it."""
+    """A record in an answer."""
 
     key: str
     value: bytes | None
@@ -33,12 +33,12 @@
 
 
 class TableState(msgspec.Struct, array_like=True, frozen=True):
-    """What a peer knows of a table.
+    """The state of a peer's replica of a table.
 
     Attributes:
-        position: offset up to which it knows the log.
-        age_ms: how long ago that was the log's end.
-        records: the newest records from the position that was asked for.
+        position: offset up to which the peer has read the log.
+        age_ms: time since that was last confirmed to be the log's end.
+        records: the newest record of each key from the requested position on.
     """
 
     position: int
@@ -47,11 +47,11 @@
 
 
 class PeerQuestion(msgspec.Struct, array_like=True, frozen=True):
-    """What a VM asks a peer.
+    """A request for records.
 
     Attributes:
-        vm: who asks.
-        positions: by table, the offset from which records are wanted.
+        vm: name of the requesting VM.
+        positions: the offset from which records are requested, by table.
         wait_ms: how long to wait while there are none.
     """
 
@@ -61,7 +61,7 @@
 
 
 class PeerAnswer(msgspec.Struct, array_like=True, frozen=True):
-    """What a peer knows, by table."""
+    """The answer to a request: the states of the requested tables, by name."""
 
     tables: dict[str, TableState]
 
@@ -71,21 +71,21 @@
 
 
 def encode_question(question: PeerQuestion) -> bytes:
-    """Return a question's bytes."""
+    """Return the encoded request."""
     return msgspec.msgpack.encode(question)
 
 
 def decode_question(data: bytes) -> PeerQuestion:
-    """Return a question.
+    """Decode a request.
 
     Raises:
-        msgspec.MsgspecError: the bytes are not a question.
+        msgspec.MsgspecError: the bytes are not a valid request.
     """
     return _QUESTION.decode(data)
 
 
 def encode_answer(answer: PeerAnswer) -> bytes:
-    """Return an answer's bytes; a large one is compressed."""
+    """Return the encoded answer, compressed if it is large."""
     data = msgspec.msgpack.encode(answer)
     if len(data) <= COMPRESS_ABOVE_BYTES:
         return PLAIN_MARK + data
@@ -93,14 +93,14 @@
 
 
 def decode_answer(data: bytes, peer: str) -> PeerAnswer:
-    """Return an answer.
+    """Decode an answer.
 
     Args:
         data: the bytes.
-        peer: who sent them, for errors.
+        peer: the peer that sent them, for error messages.
 
     Raises:
-        LogUnavailableError: the bytes are not an answer.
+        LogUnavailableError: the bytes are not a valid answer.
     """
     try:
         packed = data[1:]
@@ -109,5 +109,5 @@
         return _ANSWER.decode(packed)
     except (zlib.error, msgspec.MsgspecError) as error:
         raise LogUnavailableError(
-            f"unreadable answer: {error}", step="records", peer=peer
+            f"answer could not be decoded: {error}", step="records", peer=peer
         ) from error
--- a/src/ramppin/gateway/process/recovery/peerreader.py
+++ b/src/ramppin/gateway/process/recovery/peerreader.py
@@ -1,8 +1,8 @@
-"""Asks peers for records while the shared log turns this VM away.
+"""Requests records from peers while this VM cannot read the shared log.
 
-When peers are asked, and which, is decided in :mod:`~.peerchoice`. Each answer says
-how old the peer's own knowledge is, so that staleness is never hidden; offsets
-decide, so that a peer that is behind changes nothing.
+The rules that decide when peers are asked, and which, are in :mod:`~.peerchoice`. Each
+answer contains the age of the peer's replica, so that the age of the records stays
+visible. Records are applied by offset, so that a peer that lags changes nothing.
 """
 
 from __future__ import annotations
@@ -28,21 +28,21 @@
 LOG = logging.getLogger(__name__)
 
 ASK_INTERVAL_S = 0.3
-"""Seconds between two checks of whether a table is stale."""
+"""Seconds between two checks for stale tables."""
 
 ASK_TIMEOUT_S = 0.6
-"""Seconds that a peer may take; others are asked after that."""
+"""Seconds within which a peer must answer; then others are asked."""
 
 
 class PeerReader:
-    """Asks peers while the log is away.
+    """Updates stale tables from peers.
 
     Args:
         vm: this VM's name.
         port: the port on which every VM answers.
-        tables: what is kept current.
+        tables: the tables to keep current.
         list_candidates: returns the addresses of peers that may be asked.
-        generator: chooses among peers.
+        generator: source of randomness for the choice of peers.
 
     .. versionadded:: 0.2
     """
@@ -62,7 +62,7 @@
         self._generator = generator
 
     async def run(self) -> None:
-        """Ask whenever a replica is stale, until cancelled."""
+        """Query peers whenever a table is stale, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(ASK_INTERVAL_S)
@@ -88,7 +88,7 @@
             )
             tables = decode_answer(answer.body, host).tables
         except LogUnavailableError as error:
-            LOG.info("a peer sent no records: %s", error, extra={"peer": host})
+            LOG.info("no records from peer: %s", error, extra={"peer": host})
             return
         finally:
             fetcher.close()
--- a/src/ramppin/gateway/process/recovery/removalhold.py
+++ b/src/ramppin/gateway/process/recovery/removalhold.py
@@ -1,33 +1,34 @@
-"""Which backend servers still count after their entries vanished from the log.
+"""Decides for how long a backend server stays in use after its entry is removed.
 
-An entry that vanishes usually means that its server has left. Around an outage of
-the log it may only have lapsed: it is back soon after the log's return, if its
-server lives. Pure.
+The removal of an entry usually means that the server has left. Around an outage of the
+log the entry may only have expired; it is written again soon after the log's recovery
+if the server is alive. The function is pure.
 """
 
 from __future__ import annotations
 
 REMOVAL_HOLD_S = 2.2
-"""Seconds after the log's return for which vanished entries are held. They are back
-within two seconds, by the platform's word; the rest is one read of the table."""
+"""Seconds after the log's recovery for which servers without an entry stay in use. The
+platform guarantees the entries within two seconds; the rest covers a read of the
+table."""
 
 
 def find_hold_end(*, reachable: bool, regained_at: float, now: float) -> float | None:
-    """Return until when an entry that vanishes now is held.
+    """Return until when a server whose entry is removed now stays in use.
 
-    The hold ends a fixed time after the log's return, not after the entry vanished:
-    by then this VM is bound again by what the log says. A hold that outlasted the
-    outage sent requests to servers that had left (4 of 40 hunted days broke the
-    rule on draining servers, none without it).
+    The hold ends a fixed time after the log's recovery, not after the removal: from
+    then on this VM must follow the log. A hold that outlasted the outage sent requests
+    to servers that had left (on 4 of 40 days of the platform's test bench the rule on
+    draining servers was broken, on none without such a hold).
 
     Args:
         reachable: whether the last read of the table succeeded.
-        regained_at: the loop's time of the log's last return; -inf if it was never
-            away.
+        regained_at: the loop's time of the log's last recovery; -inf if it was never
+            unreachable.
         now: the loop's time.
 
     Returns:
-        The loop's time, or None if the log was not away of late.
+        The loop's time, or None if there was no recent outage of the log.
     """
     if not reachable:
         return now + REMOVAL_HOLD_S
--- a/src/ramppin/gateway/process/recovery/sources.py
+++ b/src/ramppin/gateway/process/recovery/sources.py
@@ -1,7 +1,7 @@
-"""Where a gateway learns its settings and backend servers from.
+"""Interfaces to the sources of a gateway's settings and backend servers.
 
-Interfaces only. Implementations: a file (:mod:`~.filetables`), relays
-(:mod:`~.relays`), an adapter to a platform's store, and the tests' stand-in.
+Implemented by a file (:mod:`~.filetables`), by relays (:mod:`~.relays`), by the adapter
+to a platform's store, and by the stand-in of the tests.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
     """Records that were read together.
 
     Attributes:
-        records: in the log's order.
+        records: in the order of the log.
         position: offset after the last record that the read covers.
-        age_s: how long ago that was the log's end; 0 if read from the log itself.
-        relayed: whether a relay passed them on; its reads are the paced ones.
-        waited_s: time after the question for which there was certainly no news.
+        age_s: time since that was the log's end; 0 if read directly from the log.
+        relayed: whether the records come from a relay, which limits the rate of reads.
+        waited_s: time after the request for which the log certainly had no new records.
     """
 
     records: tuple[Record, ...]
@@ -33,15 +33,15 @@
     waited_s: float = 0.0
 
     def with_wait(self, wait_s: float, took_s: float) -> RecordBatch:
-        """Return the batch with the time for which it waited in vain.
+        """Return the batch with the time that it waited without new records.
 
-        An answer without records after the whole wait says that there was no news
-        until its end; one that came sooner says nothing of the time after the
-        question.
+        An empty answer after the whole wait confirms that there were no new records
+        until the end of the wait. An earlier answer confirms nothing about the time
+        after the request.
 
         Args:
-            wait_s: the wait that was asked for.
-            took_s: time from the question to the answer.
+            wait_s: the requested wait.
+            took_s: time from the request to the answer.
         """
         if self.records or took_s < wait_s:
             return self
@@ -49,7 +49,7 @@
 
 
 class RecordSource(ABC):
-    """A keyed table in a shared log.
+    """A table of keyed records in a shared log.
 
     .. versionadded:: 0.2
     """
@@ -59,7 +59,7 @@
         """Return the newest record of each key.
 
         Args:
-            timeout_s: how long each answer may take.
+            timeout_s: time that each answer may take.
 
         Raises:
             LogUnavailableError: the log could not be read.
@@ -67,16 +67,16 @@
 
     @abstractmethod
     async def read_after(self, position: int, *, wait_s: float) -> RecordBatch:
-        """Return what follows a position; wait for it if there is nothing.
+        """Return the records after a position; wait if there are none.
 
         Raises:
-            LogTrimmedError: the log no longer keeps that position.
+            LogTrimmedError: the log no longer retains that position.
             LogUnavailableError: the log could not be read.
         """
 
 
 class RecordLog(RecordSource):
-    """A keyed table that VMs may write to.
+    """A table that VMs may write to.
 
     .. versionadded:: 0.2
     """
@@ -86,30 +86,30 @@
         """Write the newest record of a key.
 
         Raises:
-            LogUnavailableError: no answer came; the record may have been written.
+            LogUnavailableError: there was no answer; the record may have been written.
         """
 
 
 class RecordDecoder(ABC):
-    """Turns records into ramppin's own models.
+    """Decodes records into ramppin's models.
 
     .. versionadded:: 0.2
     """
 
     @abstractmethod
     def decode_table(self, record: Record) -> RoutingTable | None:
-        """Return the routing settings of a record, or None if it has none.
+        """Return the routing settings in a record, or None if it contains none.
 
         Raises:
-            SettingsError: the record breaks the schema.
+            SettingsError: the record doesn't match the schema.
         """
 
     @abstractmethod
     def find_evacuated(self, record: Record) -> str | None:
-        """Return the failure domain that a record of the settings' table empties.
+        """Return the failure domain that a settings record evacuates or restores.
 
-        A record without a value takes it back; any value empties it. None if the record
-        is not about that.
+        A record with any value evacuates the domain; one without a value restores it.
+        Returns None for any other record.
 
         Raises:
             SettingsError: the record names no failure domain.
@@ -120,5 +120,5 @@
         """Return the backend server that a record announces.
 
         Raises:
-            SettingsError: the record breaks the schema.
+            SettingsError: the record doesn't match the schema.
         """
--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -1,8 +1,8 @@
-"""The tables that a gateway follows: settings, backend servers, the fleet's VMs.
+"""The tables that a gateway follows: settings, backend servers and VMs of the fleet.
 
-They come from the shared log, through relays in all but the smallest fleets, and from
-peers while the log is away. Owns the replicas and what keeps them current; what
-their records change is in :mod:`~.recordapplier`.
+They are read from the shared log, through relays in all but the smallest fleets, and
+from peers during an outage of the log. Contains the replicas and their followers;
+:mod:`~.recordapplier` applies the records to the state of the gateway.
 """
 
 from __future__ import annotations
@@ -43,35 +43,35 @@
 from ramppin.gateway.process.routing.homesnapshot import HomeSnapshots
 
 SETTINGS_INTERVAL_S = 0.05
-"""Seconds between two reads of the settings, each of which waits at the log's end:
-a pause against a log that answers without waiting."""
+"""Seconds between two reads of the settings. Each read waits at the end of the log; the
+pause limits the rate of calls if the log answers without waiting."""
 
 SERVER_WAIT_S = 1.0
-"""Seconds that a read of the servers waits. With the pause of 0.8 s a change is known
-after 1.8 s at most, within the platform's 2 s."""
+"""Seconds that a read of the servers waits. With the pause of 0.8 s a change is read
+after at most 1.8 s, within the 2 s that the platform requires."""
 
 MEMBER_INTERVAL_S = 1.0
-"""Seconds between two reads of the fleet's VMs, which change rarely."""
+"""Seconds between two reads of the list of VMs, which rarely changes."""
 
 MEMBER_BOUND_S = 50.0
-"""Seconds within which a new VM must be known to all: it is no relay and gets no hints
-before, and nothing else depends on it."""
+"""Seconds within which a new VM must be in the lists of all VMs. Until then it is no
+relay and receives no hints; nothing else depends on it."""
 
 MEMBER_WAIT_S = 20.0
-"""Seconds that a read of the fleet's VMs waits: heartbeats tell who is live, the
-table only who is new."""
+"""Seconds that a read of the list of VMs waits: heartbeats show which VMs are live; the
+table only adds new ones."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewaySources:
-    """Where a gateway's tables lie.
+    """The sources of a gateway's tables.
 
     Attributes:
         settings: the routing settings.
         servers: the backend servers.
-        members: the fleet's own VMs.
-        homes: the snapshot of prefixes' homes.
-        decoder: turns records into models.
+        members: the VMs of the fleet.
+        homes: the snapshot of the homes of prefixes.
+        decoder: decodes records into models.
     """
 
     settings: RecordSource
@@ -81,10 +81,10 @@
     decoder: RecordDecoder
 
     def watch(self, monitor: LogMonitor) -> GatewaySources:
-        """Return the same tables, whose calls are watched.
+        """Return the same sources, with their calls monitored.
 
         Args:
-            monitor: takes their outcomes.
+            monitor: notes the outcomes.
         """
         return GatewaySources(
             MonitoredSource("settings", self.settings, monitor),
@@ -96,15 +96,15 @@
 
 
 class GatewayTables:
-    """Replicas of the tables, and what keeps them current.
+    """The replicas of the tables, and their followers.
 
     Args:
-        config: the process's own settings.
-        sources: where the tables lie.
-        context: takes what records change.
-        homes: where prefixes are.
-        generator: random numbers.
-        suspects: requests under which servers end.
+        config: the configuration of this process.
+        sources: the sources of the tables.
+        context: the state that records are applied to.
+        homes: the homes of prefixes.
+        generator: source of randomness.
+        suspects: gossip on requests during which backend servers terminated.
 
     .. versionadded:: 0.2
     """
@@ -151,30 +151,30 @@
 
     @property
     def settings(self) -> Replica:
-        """The settings' table."""
+        """The replica of the settings."""
         return self._settings.replica
 
     @property
     def servers(self) -> Replica:
-        """The backend servers' table."""
+        """The replica of the backend servers."""
         return self._servers.replica
 
     @property
     def settings_follower(self) -> Follower:
-        """What keeps the settings current."""
+        """The follower that keeps the settings current."""
         return self._settings.follower
 
     @property
     def server_follower(self) -> Follower:
-        """What keeps the backend servers' table current."""
+        """The follower that keeps the backend servers current."""
         return self._servers.follower
 
     def list_work(self) -> list[Coroutine[Any, Any, None]]:
-        """Return what must run while the gateway does.
+        """Return the coroutines that run as long as the gateway.
 
-        Callers need the settings and the servers; all else waits until the log has
-        answered once. When all VMs start while it is away, each would make three calls
-        in vain for one that counts.
+        Requests depend only on the settings and the servers; all else starts after the
+        first answer of the log. Otherwise, if all VMs start during an outage, each would
+        make three futile calls for each call that matters.
         """
         return [
             self._settings.follower.run(),
@@ -195,7 +195,7 @@
         await announce(self._sources.members, self._own)
 
     def list_peers(self) -> list[str]:
-        """Return the addresses of peers that may be asked for records."""
+        """Return the addresses of the peers that may be asked for records."""
         members = self.members.list_last_seen_first()
         return list_candidates(
             (member.host for member in members),
@@ -204,24 +204,24 @@
         )
 
     def list_sharing_vms(self, now: float) -> list[str]:
-        """Return the names of the VMs that share what servers take, this one included.
+        """Return the names of the VMs that share the servers' capacity, with this one.
 
-        None before the table of VMs is known: a VM that has just started would take
-        itself for the only one.
+        Empty before the table of VMs has been read: otherwise a VM that has just
+        started would treat itself as the only one.
         """
         if not self._member_table.replica.started:
             return []
         return [self._config.vm, *(m.vm for m in self.members.list_recent(now))]
 
     def remove_missing(self, now: float) -> None:
-        """Forget backend servers whose entry is missing."""
+        """Remove the backend servers whose entries are missing."""
         for state in self._context.directory.remove_missing(now):
             self._context.pool.drop_peer(state.id)
             self._context.quarantine.note_server_ended(state.id)
             self._context.cold_quota.forget(state.id)
             self._context.decisions.note("server_gone", server=state.server.name)
 
-    # the tables
+    # Replicas and followers of the tables.
 
     def _follow_settings(self, applier: RecordApplier) -> FollowedTable:
         config = self._config
@@ -288,7 +288,7 @@
         return FollowedTable(replica, follower, read_cycle_s)
 
     def _note_first_read(self, succeeded: bool) -> None:
-        """Let requests go on once settings and servers are known, or one is not."""
+        """Release waiting requests once both tables are read, or a first read fails."""
         self._first_reads_due -= 1
         if self._first_reads_due == 0 or not succeeded:
             self._context.first_read.set()
--- a/src/ramppin/gateway/process/reporting/__init__.py
+++ b/src/ramppin/gateway/process/reporting/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway reports of itself: decisions, metrics, explanations."""
+"""Decision lines, metrics and explanations that a gateway reports to operators."""
--- a/src/ramppin/gateway/process/reporting/decisions.py
+++ b/src/ramppin/gateway/process/reporting/decisions.py
@@ -1,10 +1,8 @@
-"""Decision lines: one line of JSON for each decision that touches a request.
+"""Decision lines: one line of JSON for each decision that affects a request.
 
-Lines are collected and written by a timer, so that no request waits for whoever
-reads them. Past a rate, and past what a slow reader leaves unwritten, lines are
-dropped and counted; the count is a line of its own (``lines_dropped``).
-
-Owns the lines that are not written yet.
+Lines are buffered and written by a timer, so that no request waits for the reader of
+the output. Lines above a rate, or above the size of the buffer for a slow reader, are
+dropped and counted; the count is written as a line of its own (``lines_dropped``).
 """
 
 from __future__ import annotations
@@ -18,22 +16,22 @@
 LOG = logging.getLogger(__name__)
 
 LINES_PER_S = 60
-"""Lines about answered requests that are kept each second: a sample of them."""
+"""Lines about answered requests that are written per second: a sample of them."""
 
 FAILURE_LINES_PER_S = 200
-"""Lines about anything else that are kept each second."""
+"""Lines about other events that are written per second."""
 
 MAX_UNWRITTEN_BYTES = 256 * 1024
-"""Bytes that wait for a slow reader: about three seconds of lines at both rates, of
-350 bytes each."""
+"""Bytes that are buffered for a slow reader: about three seconds of lines at both
+rates, of 350 bytes each."""
 
 
 class DecisionLog:
-    """Collects decision lines and writes them in batches.
+    """Buffers decision lines and writes them in batches.
 
     Args:
-        vm: name of the VM, in each line.
-        descriptor: where lines are written; standard output if not given.
+        vm: name of the VM, written in each line.
+        descriptor: file descriptor to write to; standard output by default.
 
     .. versionadded:: 0.2
     """
@@ -49,7 +47,7 @@
         os.set_blocking(self._descriptor, False)
 
     def note_answered(self, **fields: object) -> None:
-        """Write a line about an answered request, unless there are too many."""
+        """Add a line about an answered request, unless the rate is exceeded."""
         if self._answered_left <= 0:
             self._dropped += 1
             return
@@ -57,7 +55,7 @@
         self._append("answered", fields)
 
     def note(self, event: str, **fields: object) -> None:
-        """Write a line about any other decision or change."""
+        """Add a line about another decision or change, unless the rate is exceeded."""
         if self._others_left <= 0:
             self._dropped += 1
             return
@@ -65,7 +63,7 @@
         self._append(event, fields)
 
     def refill(self) -> None:
-        """Begin a new second."""
+        """Reset the rate limits, at the start of each second."""
         if self._dropped:
             self._append("lines_dropped", {"count": self._dropped})
             self._dropped = 0
@@ -73,7 +71,7 @@
         self._others_left = FAILURE_LINES_PER_S
 
     def flush(self) -> None:
-        """Write what was collected; keep what the reader does not take yet."""
+        """Write the buffered lines; keep what the reader does not accept yet."""
         data = self._unwritten + "".join(self._lines).encode()
         self._lines.clear()
         if not data:
@@ -90,7 +88,7 @@
         self._unwritten = self._trim(data[written:])
 
     def _trim(self, data: bytes) -> bytes:
-        """Return the oldest whole lines within the limit; count the others."""
+        """Return the oldest complete lines within the limit; count the others."""
         if len(data) <= MAX_UNWRITTEN_BYTES:
             return data
         end = data.rfind(b"\n", 0, MAX_UNWRITTEN_BYTES) + 1
--- a/src/ramppin/gateway/process/reporting/explanations.py
+++ b/src/ramppin/gateway/process/reporting/explanations.py
@@ -1,6 +1,6 @@
-"""Why the last requests went where they went.
+"""The routing decisions of the most recent requests.
 
-Owns the decisions of the last requests, in memory; they are gone with the process.
+They are kept in memory and lost at a restart.
 """
 
 from __future__ import annotations
@@ -8,11 +8,11 @@
 from collections import OrderedDict
 
 KEPT_REQUESTS = 400
-"""Requests whose decisions are kept."""
+"""Number of requests whose decisions are kept."""
 
 
 class Explanations:
-    """The decisions of the last requests, by request id.
+    """The decisions of the most recent requests, by request ID.
 
     .. versionadded:: 0.2
     """
@@ -21,12 +21,12 @@
         self._found: OrderedDict[str, list[dict[str, object]]] = OrderedDict()
 
     def add(self, request_id: str, decision: dict[str, object]) -> None:
-        """Keep a decision about a request."""
+        """Store a decision about a request; drop the oldest request above the limit."""
         decisions = self._found.setdefault(request_id, [])
         decisions.append(decision)
         if len(self._found) > KEPT_REQUESTS:
             self._found.popitem(last=False)
 
     def find(self, request_id: str) -> list[dict[str, object]]:
-        """Return the decisions about a request, the first one first."""
+        """Return the decisions about a request, oldest first."""
         return self._found.get(request_id, [])
--- a/src/ramppin/gateway/process/reporting/exposition.py
+++ b/src/ramppin/gateway/process/reporting/exposition.py
@@ -1,7 +1,7 @@
-"""Writes a gateway's metrics in the text form that Prometheus reads.
+"""Writes a gateway's metrics in the Prometheus text format.
 
-Relies on prometheus_client, which is imported at the first question only (see
-:mod:`~.metrics`): that answer takes some 0.1 s longer on a small VM.
+prometheus_client is imported at the first scrape (see :mod:`~.metrics`), which takes
+about 0.1 s longer on a small VM.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Exposition:
-    """Metrics as text.
+    """Metrics in the text format.
 
     Attributes:
-        body: the text.
-        content_type: its type and version.
+        body: the encoded text.
+        content_type: the value of the ``Content-Type`` header.
     """
 
     body: bytes
@@ -37,7 +37,7 @@
 
 
 class MetricsCollector:
-    """Turns tallies into prometheus_client's families.
+    """Converts tallies to metric families of prometheus_client.
 
     Args:
         metrics: the tallies.
@@ -47,13 +47,13 @@
         self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """Return a family for each metric."""
+        """Yield a family for each metric."""
         for tally in self._metrics.list_tallies():
             yield build_family(tally)
 
 
 def build_family(tally: Tally) -> Metric:
-    """Return prometheus_client's family of a tally."""
+    """Return a tally as a metric family of prometheus_client."""
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
     if isinstance(tally, HistogramTally):
@@ -84,7 +84,7 @@
 
 
 def expose(metrics: GatewayMetrics) -> Exposition:
-    """Return metrics in Prometheus' text form."""
+    """Return metrics in the Prometheus text format."""
     from prometheus_client import CollectorRegistry
     from prometheus_client.exposition import CONTENT_TYPE_LATEST, generate_latest
 
--- a/src/ramppin/gateway/process/reporting/metrics.py
+++ b/src/ramppin/gateway/process/reporting/metrics.py
@@ -1,8 +1,8 @@
-"""The metrics of one gateway process, by Prometheus conventions.
+"""The metrics of one gateway process, named by the conventions of Prometheus.
 
-Names and labels are an interface of operators (features/interfaces). Counts are kept in
-plain numbers, and prometheus_client writes them out when they are asked for: its import
-would make each start longer, on VMs that most often are not asked.
+Names and labels are part of the interface to operators (features/interfaces). Values
+are kept as plain numbers and converted by prometheus_client when they are scraped: its
+import would slow down each start, and most VMs are not scraped.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from bisect import bisect_left
 
 SECONDS_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
-"""Upper bounds of the histogram's buckets, in seconds: up to usual deadlines."""
+"""Upper bounds of the histogram's buckets, in seconds; they cover usual deadlines."""
 
 LabelValues = tuple[str, ...]
 
 
 class Tally:
-    """A metric's values by the values of its labels.
+    """The values of a metric, by the values of its labels.
 
     Args:
         name: the metric's name.
@@ -33,7 +33,7 @@
 
 
 class CounterTally(Tally):
-    """Counts events."""
+    """A counter of events."""
 
     def __init__(
         self, name: str, documentation: str, labels: tuple[str, ...] = ()
@@ -47,7 +47,7 @@
 
 
 class GaugeTally(Tally):
-    """Keeps the last value."""
+    """A gauge, which keeps the last value."""
 
     def __init__(
         self, name: str, documentation: str, labels: tuple[str, ...] = ()
@@ -56,18 +56,18 @@
         self.values: dict[LabelValues, float] = {}
 
     def set(self, value: float, *labels: str) -> None:
-        """Take a value."""
+        """Set the value."""
         self.values[labels] = float(value)
 
 
 class HistogramTally(Tally):
-    """Counts values by size.
+    """A histogram of values.
 
     Args:
         name: the metric's name.
         documentation: what it counts, for operators.
         labels: names of its labels.
-        buckets: upper bounds, rising; one without bound follows.
+        buckets: ascending upper bounds; an unbounded bucket follows them.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
 
 
 class GatewayMetrics:
-    """Metrics of a process.
+    """The metrics of a gateway process.
 
     .. versionadded:: 0.2
     """
--- a/src/ramppin/gateway/process/reporting/quarantinelines.py
+++ b/src/ramppin/gateway/process/reporting/quarantinelines.py
@@ -1,4 +1,4 @@
-"""Lines and counts about requests under which backend servers end."""
+"""Decision lines and counts of the changes of the quarantine."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def note_quarantine(context: GatewayContext, now: float) -> None:
-    """Write and count what became of requests since the last call.
+    """Write and count the changes of the quarantine since the last call.
 
     Args:
-        context: has the quarantine, and takes the lines.
+        context: contains the quarantine, the metrics and the decision log.
         now: the loop's time.
     """
     for change in context.quarantine.pop_changes():
