--- a/src/ramppin/gateway/process/recovery/peeranswers.py
+++ b/src/ramppin/gateway/process/recovery/peeranswers.py
@@ -28,7 +28,7 @@
 MAX_WAIT_MS = 20_000
 """Maximum wait of a request, in milliseconds; VMs request shorter waits."""
 
-UNKNOWN_AGE_MS = 1_000_000_000
+MAX_AGE_MS = 1_000_000_000
 """Upper limit of the age in an answer, in milliseconds; stands for any larger age."""
 
 
@@ -116,7 +116,7 @@
             replica = self._replicas.get(name)
             if replica is None or not replica.started:
                 continue
-            age_ms = int(min(UNKNOWN_AGE_MS, (now - replica.confirmed_at) * 1000))
+            age_ms = int(min(MAX_AGE_MS, (now - replica.confirmed_at) * 1000))
             records = [
                 PeerRecord(record.key, record.value, record.offset)
                 for record in replica.list_since(position)
