--- a/src/ramppin/gateway/process/recovery/follower.py
+++ b/src/ramppin/gateway/process/recovery/follower.py
@@ -145,14 +145,14 @@
     def _note_lost(self, error: LogUnavailableError) -> None:
         if self._reachable:
             self._reachable = False
-            LOG.warning("log unavailable: %s", error, extra={"step": self._replica.name})
+            LOG.warning("log outage: %s", error, extra={"step": self._replica.name})
 
     def _note_regained(self) -> None:
         self._backoff_s = FIRST_BACKOFF_S
         if not self._reachable:
             self._reachable = True
             self.regained_at = asyncio.get_running_loop().time()
-            LOG.info("log available again", extra={"step": self._replica.name})
+            LOG.info("log outage has ended", extra={"step": self._replica.name})
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/ramppin/gateway/process/recovery/tables.py
+++ b/src/ramppin/gateway/process/recovery/tables.py
@@ -173,8 +173,8 @@
         """Return the coroutines that run as long as the gateway.
 
         Requests depend only on the settings and the servers; all else starts after the
-        first answer of the log. Otherwise, if all VMs start during an outage, each would
-        make three futile calls for each call that matters.
+        first answer of the log. Otherwise, if all VMs start during an outage, each
+        would make three futile calls for each call that matters.
         """
         return [
             self._settings.follower.run(),
