--- a/features/steps/interface_steps.py
+++ b/features/steps/interface_steps.py
@@ -40,11 +40,11 @@
 from ramppin.gateway.process.recovery.logmonitor import LogCall
 from ramppin.gateway.process.recovery.peermessages import (
     PeerAnswer,
-    PeerQuestion,
     PeerRecord,
+    PeerRequest,
     TableState,
     encode_answer,
-    encode_question,
+    encode_peer_request,
 )
 from ramppin.gateway.process.reporting.exposition import build_family
 from ramppin.gateway.process.reporting.metrics import GatewayMetrics, HistogramTally
@@ -278,7 +278,7 @@
     many = [PeerRecord(f"key-{n}", b"value" * 10, n) for n in range(MANY_RECORDS)]
     large = encode_answer(PeerAnswer({"servers": TableState(60, 1, many)}))
     gateway = {
-        "question": encode_question(PeerQuestion("vm-1", {"settings": 7}, 250)),
+        "question": encode_peer_request(PeerRequest("vm-1", {"settings": 7}, 250)),
         "answer": encode_answer(PeerAnswer({"settings": TableState(9, 12, few)})),
         # The compressed bytes depend on the library; what they hold does not.
         "large answer's mark": large[:1],
--- a/src/ramppin/gateway/process/recovery/peeranswers.py
+++ b/src/ramppin/gateway/process/recovery/peeranswers.py
@@ -15,10 +15,10 @@
 from ramppin.gateway.process.recovery.peermessages import (
     RECORDS_TARGET,
     PeerAnswer,
-    PeerQuestion,
     PeerRecord,
+    PeerRequest,
     TableState,
-    decode_question,
+    decode_peer_request,
     encode_answer,
 )
 from ramppin.gateway.process.recovery.replica import Replica
@@ -54,7 +54,7 @@
             self._connection.send_answer(404, [], b"")
             return
         try:
-            question = decode_question(request.body)
+            question = decode_peer_request(request.body)
         except msgspec.MsgspecError as error:
             LOG.warning("invalid request: %s", error, extra={"step": "records"})
             self._connection.send_answer(400, [], b"")
@@ -70,14 +70,14 @@
     def accept_backpressure(self, *, paused: bool) -> None:
         """Do nothing: answers are small and sent whole."""
 
-    def _has_new_records(self, question: PeerQuestion) -> bool:
+    def _has_new_records(self, question: PeerRequest) -> bool:
         for name, position in question.positions.items():
             replica = self._replicas.get(name)
             if replica is not None and replica.position > position:
                 return True
         return False
 
-    def _wait(self, question: PeerQuestion) -> None:
+    def _wait(self, question: PeerRequest) -> None:
         """Answer once a table has advanced or the wait is over."""
         loop = asyncio.get_running_loop()
         replicas = [
@@ -109,7 +109,7 @@
         for replica in replicas:
             replica.call_when_advanced(answer_soon)
 
-    def _build_answer(self, question: PeerQuestion) -> bytes:
+    def _build_answer(self, question: PeerRequest) -> bytes:
         now = asyncio.get_running_loop().time()
         tables = {}
         for name, position in question.positions.items():
--- a/src/ramppin/gateway/process/recovery/peermessages.py
+++ b/src/ramppin/gateway/process/recovery/peermessages.py
@@ -46,7 +46,7 @@
     records: list[PeerRecord]
 
 
-class PeerQuestion(msgspec.Struct, array_like=True, frozen=True):
+class PeerRequest(msgspec.Struct, array_like=True, frozen=True):
     """A request for records.
 
     Attributes:
@@ -66,22 +66,22 @@
     tables: dict[str, TableState]
 
 
-_QUESTION = msgspec.msgpack.Decoder(PeerQuestion)
+_REQUEST = msgspec.msgpack.Decoder(PeerRequest)
 _ANSWER = msgspec.msgpack.Decoder(PeerAnswer)
 
 
-def encode_question(question: PeerQuestion) -> bytes:
+def encode_peer_request(question: PeerRequest) -> bytes:
     """Return the encoded request."""
     return msgspec.msgpack.encode(question)
 
 
-def decode_question(data: bytes) -> PeerQuestion:
+def decode_peer_request(data: bytes) -> PeerRequest:
     """Decode a request.
 
     Raises:
         msgspec.MsgspecError: the bytes are not a valid request.
     """
-    return _QUESTION.decode(data)
+    return _REQUEST.decode(data)
 
 
 def encode_answer(answer: PeerAnswer) -> bytes:
--- a/src/ramppin/gateway/process/recovery/peerreader.py
+++ b/src/ramppin/gateway/process/recovery/peerreader.py
@@ -18,10 +18,10 @@
 from ramppin.gateway.process.recovery.peerchoice import choose_peers
 from ramppin.gateway.process.recovery.peermessages import (
     RECORDS_TARGET,
-    PeerQuestion,
+    PeerRequest,
     TableState,
     decode_answer,
-    encode_question,
+    encode_peer_request,
 )
 from ramppin.gateway.process.recovery.replica import Record, Replica
 
@@ -79,7 +79,7 @@
     async def _query_peer(self, host: str, stale: list[FollowedTable]) -> None:
         loop = asyncio.get_running_loop()
         positions = {table.replica.name: table.replica.position for table in stale}
-        question = encode_question(PeerQuestion(self._vm, positions))
+        question = encode_peer_request(PeerRequest(self._vm, positions))
         asked_at = loop.time()
         fetcher = Fetcher(host, self._port, host)
         try:
--- a/src/ramppin/gateway/process/recovery/relays.py
+++ b/src/ramppin/gateway/process/recovery/relays.py
@@ -21,10 +21,10 @@
 from ramppin.gateway.process.recovery.logmonitor import LogMonitor
 from ramppin.gateway.process.recovery.peermessages import (
     RECORDS_TARGET,
-    PeerQuestion,
+    PeerRequest,
     TableState,
     decode_answer,
-    encode_question,
+    encode_peer_request,
 )
 from ramppin.gateway.process.recovery.relayrules import (
     AVOID_S,
@@ -161,12 +161,10 @@
             wait_s,
             after_stale_update=self._after_stale_update,
         )
-        question = PeerQuestion(
-            self._own.vm, {self._name: position}, int(wait_s * 1000)
-        )
+        question = PeerRequest(self._own.vm, {self._name: position}, int(wait_s * 1000))
         answer = await fetcher.post(
             RECORDS_TARGET,
-            encode_question(question),
+            encode_peer_request(question),
             timeout_s=wait_s + self._times.call_timeout_s,
         )
         state = decode_answer(answer.body, relay.host).tables.get(self._name)
