--- a/src/ramppin/gateway/process/recovery/peeranswers.py
+++ b/src/ramppin/gateway/process/recovery/peeranswers.py
@@ -54,15 +54,15 @@
             self._connection.send_answer(404, [], b"")
             return
         try:
-            question = decode_peer_request(request.body)
+            peer_request = decode_peer_request(request.body)
         except msgspec.MsgspecError as error:
             LOG.warning("invalid request: %s", error, extra={"step": "records"})
             self._connection.send_answer(400, [], b"")
             return
-        if question.wait_ms > 0 and not self._has_new_records(question):
-            self._wait(question)
+        if peer_request.wait_ms > 0 and not self._has_new_records(peer_request):
+            self._wait(peer_request)
         else:
-            self._connection.send_answer(200, [], self._build_answer(question))
+            self._connection.send_answer(200, [], self._build_answer(peer_request))
 
     def accept_disconnect(self) -> None:
         """Do nothing: there is no exchange with a backend server."""
@@ -70,25 +70,25 @@
     def accept_backpressure(self, *, paused: bool) -> None:
         """Do nothing: answers are small and sent whole."""
 
-    def _has_new_records(self, question: PeerRequest) -> bool:
-        for name, position in question.positions.items():
+    def _has_new_records(self, peer_request: PeerRequest) -> bool:
+        for name, position in peer_request.positions.items():
             replica = self._replicas.get(name)
             if replica is not None and replica.position > position:
                 return True
         return False
 
-    def _wait(self, question: PeerRequest) -> None:
+    def _wait(self, peer_request: PeerRequest) -> None:
         """Answer once a table has advanced or the wait is over."""
         loop = asyncio.get_running_loop()
         replicas = [
             self._replicas[name]
-            for name in question.positions
+            for name in peer_request.positions
             if name in self._replicas
         ]
 
         def answer() -> None:
             timer.cancel()
-            self._connection.send_answer(200, [], self._build_answer(question))
+            self._connection.send_answer(200, [], self._build_answer(peer_request))
 
         def answer_soon() -> None:
             stop_waiting()
@@ -104,15 +104,15 @@
             for replica in replicas:
                 replica.remove_callback(answer_soon)
 
-        wait_s = min(question.wait_ms, MAX_WAIT_MS) / 1000
+        wait_s = min(peer_request.wait_ms, MAX_WAIT_MS) / 1000
         timer = loop.call_later(wait_s, answer_on_timeout)
         for replica in replicas:
             replica.call_when_advanced(answer_soon)
 
-    def _build_answer(self, question: PeerRequest) -> bytes:
+    def _build_answer(self, peer_request: PeerRequest) -> bytes:
         now = asyncio.get_running_loop().time()
         tables = {}
-        for name, position in question.positions.items():
+        for name, position in peer_request.positions.items():
             replica = self._replicas.get(name)
             if replica is None or not replica.started:
                 continue
--- a/src/ramppin/gateway/process/recovery/peermessages.py
+++ b/src/ramppin/gateway/process/recovery/peermessages.py
@@ -70,9 +70,9 @@
 _ANSWER = msgspec.msgpack.Decoder(PeerAnswer)
 
 
-def encode_peer_request(question: PeerRequest) -> bytes:
+def encode_peer_request(peer_request: PeerRequest) -> bytes:
     """Return the encoded request."""
-    return msgspec.msgpack.encode(question)
+    return msgspec.msgpack.encode(peer_request)
 
 
 def decode_peer_request(data: bytes) -> PeerRequest:
--- a/src/ramppin/gateway/process/recovery/peerreader.py
+++ b/src/ramppin/gateway/process/recovery/peerreader.py
@@ -79,12 +79,12 @@
     async def _query_peer(self, host: str, stale: list[FollowedTable]) -> None:
         loop = asyncio.get_running_loop()
         positions = {table.replica.name: table.replica.position for table in stale}
-        question = encode_peer_request(PeerRequest(self._vm, positions))
+        peer_request = encode_peer_request(PeerRequest(self._vm, positions))
         asked_at = loop.time()
         fetcher = Fetcher(host, self._port, host)
         try:
             answer = await fetcher.post(
-                RECORDS_TARGET, question, timeout_s=ASK_TIMEOUT_S
+                RECORDS_TARGET, peer_request, timeout_s=ASK_TIMEOUT_S
             )
             tables = decode_answer(answer.body, host).tables
         except LogUnavailableError as error:
--- a/src/ramppin/gateway/process/recovery/relays.py
+++ b/src/ramppin/gateway/process/recovery/relays.py
@@ -161,10 +161,12 @@
             wait_s,
             after_stale_update=self._after_stale_update,
         )
-        question = PeerRequest(self._own.vm, {self._name: position}, int(wait_s * 1000))
+        peer_request = PeerRequest(
+            self._own.vm, {self._name: position}, int(wait_s * 1000)
+        )
         answer = await fetcher.post(
             RECORDS_TARGET,
-            encode_peer_request(question),
+            encode_peer_request(peer_request),
             timeout_s=wait_s + self._times.call_timeout_s,
         )
         state = decode_answer(answer.body, relay.host).tables.get(self._name)
