--- a/src/ramppin/gateway/request/exchange.py
+++ b/src/ramppin/gateway/request/exchange.py
@@ -285,7 +285,7 @@
         return result
 
     def _note_notice(self, state: ServerState, notice: ServerNotice) -> None:
-        """Take what a server says of itself in an answer."""
+        """Record a notice that a server sent in an answer."""
         notices, now = self._context.directory.notices, self._loop.time()
         if notice.leaving:
             notices.note_leaving(state.id, NoticeSource.ANSWER, now)
