--- a/src/ramppin/gateway/request/events.py
+++ b/src/ramppin/gateway/request/events.py
@@ -45,19 +45,19 @@
             if len(buffered) > MAX_EVENT_BYTES:
                 raise ProtocolError("an event is too large", step="stream")
             return b""
-        whole, self._partial = buffered[:end], buffered[end:]
-        self._note_last_id(whole)
-        return whole
+        complete, self._partial = buffered[:end], buffered[end:]
+        self._note_last_id(complete)
+        return complete
 
     def drop_partial(self) -> None:
         """Discard a partial event: the next attempt sends it again from its start."""
         self._partial = b""
 
-    def _note_last_id(self, whole: bytes) -> None:
-        start = len(whole)
-        while (start := whole.rfind(ID_FIELD, 0, start)) >= 0:
-            if start == 0 or whole[start - 1 : start] == b"\n":
-                line = whole[start + len(ID_FIELD) :].split(b"\n", 1)[0]
+    def _note_last_id(self, complete: bytes) -> None:
+        start = len(complete)
+        while (start := complete.rfind(ID_FIELD, 0, start)) >= 0:
+            if start == 0 or complete[start - 1 : start] == b"\n":
+                line = complete[start + len(ID_FIELD) :].split(b"\n", 1)[0]
                 self.last_id = line.strip()
                 return
 
