--- a/src/ramppin/router/connection/messages.py
+++ b/src/ramppin/router/connection/messages.py
@@ -1,7 +1,8 @@
-"""The messages between VMs of the fleet, and their CBOR form.
+"""The messages that router VMs exchange, and their CBOR encoding.
 
-A message is a CBOR array: its tag, then its fields in order. Short arrays in
-place of maps keep a place's messages near 30 bytes each.
+A message is a CBOR array: a tag, then the fields in order. Arrays instead of
+maps keep each message about a place near 30 bytes. A place is a reservation of
+one request on a backend server; the owner of a shard grants its places.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 from ramppin.errors import ProtocolError
 
 PROTOCOL_VERSION = 1
-"""Version of these messages; VMs of another one are refused."""
+"""Version of this protocol; links from VMs with another version are refused."""
 
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
-"""Bytes of the largest message, a bound on memory."""
+"""Maximum size of a message in bytes; limits the memory that a link can use."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """To a shard's owner: all places that the sender holds; none besides."""
+    """To a shard's owner: the complete list of places that the sender holds."""
 
     shard: str
     epoch: int
@@ -42,18 +43,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """To a shard's owner: a place, please.
+    """To a shard's owner: requests a place.
 
     Attributes:
         shard: the shard.
-        number: the place's number at the sender.
-        chat: the chat's key.
-        service: by which, with route and customer, the owner finds the rules.
+        number: number by which the sender identifies the place.
+        chat: hash key of the chat; 0 for none.
+        service: name of the service; with route and customer it selects the rules.
         route: index of the route, or -1.
-        customer: who asks.
-        returning: whether the chat was here before.
+        customer: the customer that sent the request.
+        returning: whether the chat has had an earlier request.
         left_ms: time until the request's deadline, in milliseconds.
-        exclude: backend servers that it has failed on.
+        exclude: backend servers on which the request has failed.
     """
 
     shard: str
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """From the owner: a place. Fields as in ``placement.Grant``."""
+    """From the owner: grants a place. Fields as in ``placement.Grant``."""
 
     number: int
     backend_server: str
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """From the owner: no place."""
+    """From the owner: refuses a place."""
 
     number: int
     reason: str
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotOwner:
-    """To one who asked: this VM may not grant places of the shard now."""
+    """Reply to :class:`Ask` or :class:`Sync`: the sender does not own the shard now."""
 
     number: int
     epoch: int
@@ -101,13 +102,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Free:
-    """To the owner: the place is free, or the wait for it is over.
+    """To the owner: frees a place, or withdraws the request for one.
 
     Attributes:
         shard: the shard.
-        number: the place's number at the sender.
+        number: number by which the sender identifies the place.
         failed: whether the backend server failed to answer.
-        running: whether the request may still run there.
+        running: whether the request may still be running on it.
     """
 
     shard: str
@@ -118,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskEpochs:
-    """Which lease epochs does the receiver know, and can it read the log?"""
+    """Requests the lease epochs that the receiver has stored."""
 
     call: int
 
@@ -133,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskRecords:
-    """Records of a stream from an offset, for one cut off from the log."""
+    """Requests records of a stream from an offset, for a VM without log access."""
 
     call: int
     stream: str
@@ -142,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Records:
-    """Reply to :class:`AskRecords`; JSON texts by offset."""
+    """Reply to :class:`AskRecords`: pairs of an offset and a JSON text."""
 
     call: int
     records: tuple[tuple[int, str], ...]
@@ -150,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskTrace:
-    """The trace of a request that the receiver decided."""
+    """Requests the trace of a request that the receiver handled."""
 
     call: int
     request_id: str
@@ -158,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceReply:
-    """Reply to :class:`AskTrace`; JSON, or empty if it is not kept."""
+    """Reply to :class:`AskTrace`: JSON, or empty if the trace is not stored."""
 
     call: int
     trace: str
@@ -166,14 +167,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AskClaim:
-    """What became of a claim that the receiver holds?
+    """Requests the outcome of a claim that the receiver holds.
 
     Attributes:
         call: number of the call.
         key: the claim's key.
-        run: the run of the process that holds it.
-        taker: the request that would run it, were it never sent.
-        wait_ms: how long to wait for one that is running.
+        run: identifies one run of the process that holds the claim.
+        taker: request that takes the claim over if the holder never sent its own.
+        wait_ms: how long to wait for a request that is running, in milliseconds.
     """
 
     call: int
@@ -190,9 +191,9 @@
     Attributes:
         call: number of the call.
         state: ``ran``, ``unknown``, ``running``, ``given``, or ``lost``.
-        status: the answer's HTTP status; 0 without an answer.
-        headers: the answer's headers.
-        body: the answer's body; None if it was not kept.
+        status: HTTP status of the answer; 0 if there is none.
+        headers: headers of the answer.
+        body: body of the answer; None if it was not stored.
     """
 
     call: int
@@ -242,31 +243,33 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a message's CBOR form."""
+    """Return a message encoded as CBOR."""
     tag = _TAGS[type(message)]
     values = [_flatten(getattr(message, name)) for name in _FIELDS[tag]]
     return cbor2.dumps([tag, *values])
 
 
 def decode_message(data: bytes, peer: str) -> Message:
-    """Return the message that CBOR data holds.
+    """Decode a message from CBOR.
 
     Args:
-        data: the data.
-        peer: who sent it, for errors.
+        data: the encoded message.
+        peer: the VM that sent it; named in errors.
 
     Raises:
-        ProtocolError: the data is no message of this protocol.
+        ProtocolError: the data is not a valid message of this protocol.
     """
     try:
         value = cbor2.loads(data)
     except (ValueError, EOFError, RecursionError, cbor2.CBORDecodeError) as error:
-        raise ProtocolError(f"no CBOR: {error}", step="decode", peer=peer) from error
+        raise ProtocolError(
+            f"invalid CBOR: {error}", step="decode", peer=peer
+        ) from error
     if not isinstance(value, list) or not value:
-        raise ProtocolError("no message", step="decode", peer=peer)
+        raise ProtocolError("not a CBOR array", step="decode", peer=peer)
     tag, *values = value
     if not isinstance(tag, int) or not 0 <= tag < len(_KINDS):
-        raise ProtocolError(f"unknown tag {tag!r}", step="decode", peer=peer)
+        raise ProtocolError(f"unknown message tag {tag!r}", step="decode", peer=peer)
     if len(values) > len(_FIELDS[tag]):
         raise ProtocolError("too many fields", step="decode", peer=peer)
     fields = dict(zip(_FIELDS[tag], values, strict=False))
