--- a/src/ramppin/router/version/tree.py
+++ b/src/ramppin/router/version/tree.py
@@ -1,9 +1,9 @@
-"""Inheritance: which level of the tree supplies each rule of a request.
+"""Inheritance of rules: which level of the settings tree supplies each rule.
 
-Levels from the root down: fleet, then for a pool's rules the pool; for a
+Levels from the root down: the fleet, then for a pool's rules the pool; for a
 request's rules the service, its route, the customer, the customer's node for
 the service, and the placement rules in order. The lowest level that sets a
-rule supplies it.
+rule supplies its value.
 """
 
 from __future__ import annotations
@@ -44,20 +44,20 @@
     claim_window_s=600.0,
     absent_s=3.0,
 )
-"""What holds where no level of the tree says otherwise."""
+"""Values of the rules that no level of the tree sets."""
 
 DEFAULT_LEVEL = "defaults"
 
 
 @dataclass(frozen=True, slots=True)
 class RuleSource:
-    """Where the value of a rule came from.
+    """The origin of the value of a rule.
 
     Attributes:
         rule: name of the rule.
         value: its value.
-        path: dotted path of the value in the tree.
-        level: the level that supplied it, for instance ``"customer"``.
+        path: dotted path of the value in the settings tree.
+        level: name of the level that sets it, for instance ``"customer"``.
     """
 
     rule: str
@@ -107,16 +107,16 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the form in which the settings hold an API key."""
+    """Return the hash under which the settings store an API key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 class Settings:
-    """One accepted version of the tree, compiled for use by requests.
+    """One accepted version of the settings tree, with lookups for requests.
 
     Args:
-        version: the log's offset of the record that made it.
-        tree: the validated tree.
+        version: offset in the log of the record that created this version.
+        tree: the validated settings tree.
 
     .. versionadded:: 0.1
     """
@@ -139,7 +139,7 @@
 
     @property
     def models(self) -> tuple[str, ...]:
-        """Names of all models that callers may ask for."""
+        """Names of all models that requests can select, sorted."""
         return tuple(sorted(self._models))
 
     def find_customer(self, key: str) -> str | None:
@@ -151,7 +151,7 @@
         return self._models.get(model)
 
     def find_plain_service(self, service: str) -> str | None:
-        """Return the service if it is a plain one, or None."""
+        """Return the service if it is a plain HTTP service, or None."""
         node = self.tree.services.get(service)
         return service if node and node.kind is ServiceKind.PLAIN else None
 
@@ -182,9 +182,9 @@
         """Return the rules in force for a request.
 
         Args:
-            service: the service asked for.
-            customer: who asks.
-            route: index of the route, as :meth:`find_route` gives it.
+            service: the service that the request is for.
+            customer: the customer that sent the request.
+            route: index of the route, as :meth:`find_route` returns it.
         """
         key = (service, customer, route)
         if key not in self._requests:
@@ -197,12 +197,12 @@
 
     @property
     def claim_window_s(self) -> float:
-        """How old an idempotency key may be, in seconds."""
+        """Maximum age of an idempotency key, in seconds."""
         return _or_default(self.tree.fleet.claim_window_s, DEFAULTS.claim_window_s)
 
     @property
     def absent_s(self) -> float:
-        """Seconds that a backend server may be missing from the list of VMs."""
+        """Seconds for which a backend server may be missing from the list of VMs."""
         return _or_default(self.tree.fleet.absent_s, DEFAULTS.absent_s)
 
     def _list_levels(self, service: str, customer: str, route: int) -> list[_Level]:
