--- a/src/ramppin/router/process/routing/allocator.py
+++ b/src/ramppin/router/process/routing/allocator.py
@@ -78,7 +78,7 @@
         self._free_rate = FreeRate()
         self._timers: list[float] = []
         self._transit_timer = float("-inf")
-        self._settled = True
+        self._granting = True
 
     # -- what the shell tells it ------------------------------------------
 
@@ -92,13 +92,13 @@
         self.load.set_members(members)
         return self._serve_waiting(now)
 
-    def unsettle(self) -> None:
-        """Grant nothing until :meth:`settle`: the counts aren't known yet."""
-        self._settled = False
+    def stop_granting(self) -> None:
+        """Grant nothing until :meth:`start_granting`: the counts aren't known yet."""
+        self._granting = False
 
-    def settle(self, now: float) -> list[Decision]:
+    def start_granting(self, now: float) -> list[Decision]:
         """Start to grant: all counts that can be known are known."""
-        self._settled = True
+        self._granting = True
         return self._serve_waiting(now)
 
     def ask(self, request: PlaceRequest, now: float) -> list[Decision]:
@@ -194,7 +194,7 @@
         known = self.load.servers.get(server)
         if known is None:
             return []
-        if not self._settled:
+        if not self._granting:
             unexplained = max(0, running - known.places)
             self.load.set_unexplained(known, unexplained, now)
             self._set_timer(now + self.load.policy.orphan_hold_s)
@@ -238,7 +238,7 @@
 
     def _try_to_place(self, waiter: Waiter, now: float) -> Grant | None:
         request = waiter.request
-        if not self._settled or not self._may_run(request):
+        if not self._granting or not self._may_run(request):
             return None
         self.load.estimate_transit(now, self._free_rate.per_s)
         choice = self._chooser.choose(request, may_spill=now >= waiter.spill_at)
@@ -273,7 +273,7 @@
 
     def _enqueue(self, waiter: Waiter, now: float) -> list[Decision]:
         request = waiter.request
-        if self._settled and not self._chooser.list_eligible(request):
+        if self._granting and not self._chooser.list_eligible(request):
             return [self._refuse(request, Reason.NO_BACKEND_SERVER)]
         estimate = self._estimate_wait(request)
         if estimate > request.max_wait_s:
@@ -290,7 +290,7 @@
 
     def _serve_waiting(self, now: float) -> list[Decision]:
         decisions: list[Decision] = []
-        served = bool(self.queue) and self._settled
+        served = bool(self.queue) and self._granting
         while served:
             served = False
             for waiter in self.queue.list_in_order():
@@ -301,7 +301,7 @@
                     decisions.append(grant)
                     served = True
                     break
-        if self.queue and self._settled and self.load.in_transit > 1:
+        if self.queue and self._granting and self.load.in_transit > 1:
             self._set_transit_timer(now)
         return decisions
 
--- a/src/ramppin/router/process/routing/shards.py
+++ b/src/ramppin/router/process/routing/shards.py
@@ -121,7 +121,7 @@
             granting = owned.counted and self._holder.may_grant(name, now)
             if granting and not owned.granting:
                 owned.granting = True
-                self._emit(owned, owned.allocator.settle(now))
+                self._emit(owned, owned.allocator.start_granting(now))
             elif not granting and owned.granting:
                 self._stop(owned)
 
@@ -221,7 +221,7 @@
         owned = self.owned.get(shard.name)
         if owned is None:
             allocator = Allocator(shard.policy, on_change=self._on_change)
-            allocator.unsettle()
+            allocator.stop_granting()
             owned = OwnedShard(epoch, allocator, now)
             self.owned[shard.name] = owned
         decisions = owned.allocator.set_members(shard.members, now)
@@ -244,7 +244,7 @@
 
     def _stop(self, owned: OwnedShard) -> None:
         owned.granting = False
-        owned.allocator.unsettle()
+        owned.allocator.stop_granting()
 
     def _emit(self, owned: OwnedShard, decisions: list[Decision]) -> None:
         for decision in decisions:
