--- a/src/ramppin/router/process/routing/allocator.py
+++ b/src/ramppin/router/process/routing/allocator.py
@@ -113,7 +113,7 @@
             request,
             asked_at=now,
             spill_at=now + (request.wait_for_cached_s if request.returning else 0.0),
-            give_up_at=now + request.max_wait_s,
+            wait_deadline=now + request.max_wait_s,
         )
         grant = self._try_to_place(waiter, now)
         if grant:
@@ -226,7 +226,7 @@
         self._drop_old_orphans(now)
         decisions = self._serve_waiting(now)
         for waiter in list(self.queue.list_in_order()):
-            if waiter.give_up_at <= now:
+            if waiter.wait_deadline <= now:
                 decisions.append(self._give_up(waiter, Reason.WAIT_ENDED))
         return decisions
 
@@ -280,9 +280,9 @@
             return [self._refuse(request, Reason.WAIT_TOO_LONG)]
         self.queue.push(waiter)
         self._customers.add(request.customer, waiting=1, weight=request.weight)
-        self._set_timer(waiter.give_up_at)
+        self._set_timer(waiter.wait_deadline)
         self._set_transit_timer(now)
-        if now < waiter.spill_at < waiter.give_up_at:
+        if now < waiter.spill_at < waiter.wait_deadline:
             self._set_timer(waiter.spill_at)
         if len(self.queue) > self.load.policy.max_waiting:
             return [self._give_up(self.queue.find_longest(), Reason.QUEUE_FULL)]
--- a/src/ramppin/router/process/routing/queue.py
+++ b/src/ramppin/router/process/routing/queue.py
@@ -17,14 +17,14 @@
         request: what is asked for.
         asked_at: when it was asked.
         spill_at: until then it waits for its own backend server only.
-        give_up_at: then it is refused.
+        wait_deadline: then it is refused.
         order: its place among the customer's waiting requests.
     """
 
     request: PlaceRequest
     asked_at: float
     spill_at: float
-    give_up_at: float
+    wait_deadline: float
     order: tuple[int, int] = (0, 0)
 
 
