--- a/src/ramppin/router/process/routing/allocator.py
+++ b/src/ramppin/router/process/routing/allocator.py
@@ -227,7 +227,7 @@
         decisions = self._serve_waiting(now)
         for waiter in list(self.queue.list_in_order()):
             if waiter.wait_deadline <= now:
-                decisions.append(self._give_up(waiter, Reason.WAIT_ENDED))
+                decisions.append(self._refuse_waiter(waiter, Reason.WAIT_ENDED))
         return decisions
 
     def next_wake(self) -> float | None:
@@ -285,7 +285,7 @@
         if now < waiter.spill_at < waiter.wait_deadline:
             self._set_timer(waiter.spill_at)
         if len(self.queue) > self.load.policy.max_waiting:
-            return [self._give_up(self.queue.find_longest(), Reason.QUEUE_FULL)]
+            return [self._refuse_waiter(self.queue.find_longest(), Reason.QUEUE_FULL)]
         return []
 
     def _serve_waiting(self, now: float) -> list[Decision]:
@@ -305,7 +305,7 @@
             self._set_transit_timer(now)
         return decisions
 
-    def _give_up(self, waiter: Waiter, reason: Reason) -> Refusal:
+    def _refuse_waiter(self, waiter: Waiter, reason: Reason) -> Refusal:
         self.queue.remove(waiter.request.place)
         self._customers.add(waiter.request.customer, waiting=-1)
         return self._refuse(waiter.request, reason)
