--- a/src/ramppin/router/process/routing/allocator.py
+++ b/src/ramppin/router/process/routing/allocator.py
@@ -332,7 +332,7 @@
         end = self.load.note_failure(server, now)
         if end is not None:
             self._set_timer(end)
-            self._tell(server.name, serving=False)
+            self._notify_change(server.name, serving=False)
 
     def _end_suspensions(self, now: float) -> None:
         over = [
@@ -343,7 +343,7 @@
         if over:
             self.load.end_suspensions(now)
         for name in over:
-            self._tell(name, serving=True)
+            self._notify_change(name, serving=True)
 
     def _drop_ended(self, server: ServerLoad, running: int, as_of: float) -> None:
         """Drop what a report shows to have ended.
@@ -376,7 +376,7 @@
         if held:
             self._customers.add(held.customer, in_flight=-1)
 
-    def _tell(self, server: str, *, serving: bool) -> None:
+    def _notify_change(self, server: str, *, serving: bool) -> None:
         if self._on_change:
             self._on_change(server, serving)
 
