--- a/src/ramppin/router/process/routing/allocator.py
+++ b/src/ramppin/router/process/routing/allocator.py
@@ -238,7 +238,7 @@
 
     def _try_to_place(self, waiter: Waiter, now: float) -> Grant | None:
         request = waiter.request
-        if not self._granting or not self._may_run(request):
+        if not self._granting or not self._is_within_share(request):
             return None
         self.load.estimate_transit(now, self._free_rate.per_s)
         choice = self._chooser.choose(request, may_spill=now >= waiter.spill_at)
@@ -259,7 +259,7 @@
             waited_s=now - waiter.asked_at,
         )
 
-    def _may_run(self, request: PlaceRequest) -> bool:
+    def _is_within_share(self, request: PlaceRequest) -> bool:
         in_flight = self._customers.get_in_flight(request.customer)
         if request.max_in_flight and in_flight >= request.max_in_flight:
             return False
