--- a/src/ramppin/router/process/routing/allocator.py
+++ b/src/ramppin/router/process/routing/allocator.py
@@ -199,7 +199,7 @@
             self.load.set_unexplained(known, unexplained, now)
             self._set_timer(now + self.load.policy.orphan_hold_s)
             return []
-        self._drop_ended(known, running, as_of)
+        self._reconcile_orphans(known, running, as_of)
         return self._serve_waiting(now)
 
     def note_silent(self, server: str, now: float) -> list[Decision]:
@@ -345,7 +345,9 @@
         for name in over:
             self._notify_change(name, serving=True)
 
-    def _drop_ended(self, server: ServerLoad, running: int, as_of: float) -> None:
+    def _reconcile_orphans(
+        self, server: ServerLoad, running: int, as_of: float
+    ) -> None:
         """Drop what a report shows to have ended.
 
         Of the requests that ran at the report's time, some are those of places
