--- a/src/ramppin/router/process/routing/allocator.py
+++ b/src/ramppin/router/process/routing/allocator.py
@@ -202,7 +202,7 @@
         self._reconcile_orphans(known, running, as_of)
         return self._serve_waiting(now)
 
-    def note_silent(self, server: str, now: float) -> list[Decision]:
+    def note_missing_report(self, server: str, now: float) -> list[Decision]:
         """Take in that a backend server gave no report; it may be failing."""
         known = self.load.servers.get(server)
         if known:
--- a/src/ramppin/router/process/routing/reports.py
+++ b/src/ramppin/router/process/routing/reports.py
@@ -87,7 +87,7 @@
             self._host.observe_load(shard, name, report.running, as_of, self._clock())
             await self._read_events(shard, name, node)
         except RamppinError as error:
-            self._host.note_silent(shard, name, self._clock())
+            self._host.note_missing_report(shard, name, self._clock())
             LOG.debug("no report: %s", error, extra={"step": "report", "peer": name})
 
     async def _read_events(
--- a/src/ramppin/router/process/routing/shards.py
+++ b/src/ramppin/router/process/routing/shards.py
@@ -199,12 +199,12 @@
             self._check_lease(shard, owned, now)
             self._emit(owned, owned.allocator.observe_load(server, running, as_of, now))
 
-    def note_silent(self, shard: str, server: str, now: float) -> None:
+    def note_missing_report(self, shard: str, server: str, now: float) -> None:
         """Take in that a backend server gave no report."""
         owned = self.owned.get(shard)
         if owned:
             self._check_lease(shard, owned, now)
-            self._emit(owned, owned.allocator.note_silent(server, now))
+            self._emit(owned, owned.allocator.note_missing_report(server, now))
 
     def tick(self, now: float) -> None:
         """Do what has come due."""
