--- a/features/steps/generated_steps.py
+++ b/features/steps/generated_steps.py
@@ -114,7 +114,7 @@
         for place, state in self.asked.items():
             if place.vm == name and state == "waiting":
                 self.asked[place] = "lost"
-        self.take(self.allocator.lose_vm(name, self.now))
+        self.take(self.allocator.handle_vm_loss(name, self.now))
 
     def do_members(self, count, leaving) -> None:
         self.set_members(count, leaving)
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -227,7 +227,7 @@
         request = PlaceRequest(PlaceId(vm, number), number * 7919, "choir")
         decisions = allocator.ask(request, float(number))
         assert decisions, "no place though a second apart"
-    allocator.lose_vm("vm-1", 100.0)
+    allocator.handle_vm_loss("vm-1", 100.0)
     allocator.load.estimate_transit(100.0, 0.0)
 
 
--- a/src/ramppin/router/process/membership/peers.py
+++ b/src/ramppin/router/process/membership/peers.py
@@ -112,7 +112,7 @@
         """Count a VM as lost; its sync takes that back if it is there again."""
         self._senders.pop(vm, None)
         LOG.info("link down", extra={"step": "peer", "peer": vm})
-        self._host.lose_vm(vm, self._clock())
+        self._host.handle_vm_loss(vm, self._clock())
 
     def deliver(self, decision: Decision, epoch: int) -> None:
         """Send a decision to the VM that asked; lost if it has no link."""
--- a/src/ramppin/router/process/routing/allocator.py
+++ b/src/ramppin/router/process/routing/allocator.py
@@ -167,7 +167,7 @@
                     known, known.unexplained - 1, known.unexplained_at
                 )
 
-    def lose_vm(self, vm: str, now: float) -> list[Decision]:
+    def handle_vm_loss(self, vm: str, now: float) -> list[Decision]:
         """A VM is lost: its requests may still run, its waiters are gone."""
         for waiter in self.queue.list_by_vm(vm):
             self.queue.remove(waiter.request.place)
--- a/src/ramppin/router/process/routing/shards.py
+++ b/src/ramppin/router/process/routing/shards.py
@@ -183,12 +183,12 @@
             )
             self._emit(owned, decisions)
 
-    def lose_vm(self, vm: str, now: float) -> None:
+    def handle_vm_loss(self, vm: str, now: float) -> None:
         """Take in that a VM is lost."""
         for shard, owned in self.owned.items():
             self._check_lease(shard, owned, now)
             owned.synced.discard(vm)
-            self._emit(owned, owned.allocator.lose_vm(vm, now))
+            self._emit(owned, owned.allocator.handle_vm_loss(vm, now))
 
     def observe_load(
         self, shard: str, server: str, running: int, as_of: float, now: float
