--- a/src/ramppin/router/process/routing/queue.py
+++ b/src/ramppin/router/process/routing/queue.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class _Line:
+class _CustomerQueue:
     customer: str
     weight: float
     start: float
@@ -48,7 +48,7 @@
     """
 
     def __init__(self) -> None:
-        self._lines: dict[str, _Line] = {}
+        self._queues: dict[str, _CustomerQueue] = {}
         self._waiters: dict[PlaceId, Waiter] = {}
         self._clock = 0.0
         self._sequence = 0
@@ -59,14 +59,14 @@
     def push(self, waiter: Waiter) -> None:
         """Add a waiter."""
         request = waiter.request
-        line = self._lines.get(request.customer)
-        if line is None:
-            line = _Line(request.customer, request.weight, self._clock)
-            self._lines[request.customer] = line
-        line.weight = request.weight
+        queue = self._queues.get(request.customer)
+        if queue is None:
+            queue = _CustomerQueue(request.customer, request.weight, self._clock)
+            self._queues[request.customer] = queue
+        queue.weight = request.weight
         self._sequence += 1
         waiter.order = (-request.priority, self._sequence)
-        insort(line.waiters, waiter, key=lambda other: other.order)
+        insort(queue.waiters, waiter, key=lambda other: other.order)
         self._waiters[request.place] = waiter
 
     def remove(self, place: PlaceId) -> Waiter | None:
@@ -74,17 +74,17 @@
         waiter = self._waiters.pop(place, None)
         if waiter is None:
             return None
-        line = self._lines[waiter.request.customer]
-        line.waiters.remove(waiter)
-        if not line.waiters:
-            del self._lines[line.customer]
+        queue = self._queues[waiter.request.customer]
+        queue.waiters.remove(waiter)
+        if not queue.waiters:
+            del self._queues[queue.customer]
         return waiter
 
     def serve(self, waiter: Waiter) -> None:
         """Remove a waiter that got a place and move its customer's tag on."""
-        line = self._lines[waiter.request.customer]
-        self._clock = max(self._clock, line.start)
-        line.start += 1.0 / line.weight
+        queue = self._queues[waiter.request.customer]
+        self._clock = max(self._clock, queue.start)
+        queue.start += 1.0 / queue.weight
         self.remove(waiter.request.place)
 
     def find(self, place: PlaceId) -> Waiter | None:
@@ -96,8 +96,8 @@
 
         The order is that of one round; call again after a place was given.
         """
-        for line in sorted(self._lines.values(), key=lambda other: other.start):
-            yield from list(line.waiters)
+        for queue in sorted(self._queues.values(), key=lambda other: other.start):
+            yield from list(queue.waiters)
 
     def list_by_vm(self, vm: str) -> list[Waiter]:
         """Return the waiters of one VM."""
@@ -105,20 +105,24 @@
 
     def count(self, customer: str) -> int:
         """Return how many requests of a customer wait."""
-        line = self._lines.get(customer)
-        return len(line.waiters) if line else 0
+        queue = self._queues.get(customer)
+        return len(queue.waiters) if queue else 0
 
     def find_longest(self) -> Waiter:
         """Return the newest waiter of the customer that waits most.
 
         Queue lengths are compared by weight. Raises ValueError when empty.
         """
-        line = max(self._lines.values(), key=lambda ln: len(ln.waiters) / ln.weight)
-        return line.waiters[-1]
+        queue = max(
+            self._queues.values(), key=lambda queue: len(queue.waiters) / queue.weight
+        )
+        return queue.waiters[-1]
 
     def compute_share(self, customer: str, weight: float) -> float:
         """Return a customer's share of the places that come free."""
         others = sum(
-            line.weight for line in self._lines.values() if line.customer != customer
+            queue.weight
+            for queue in self._queues.values()
+            if queue.customer != customer
         )
         return weight / (others + weight)
