--- a/src/ramppin/router/process/routing/allocator.py
+++ b/src/ramppin/router/process/routing/allocator.py
@@ -285,7 +285,11 @@
         if now < waiter.spill_at < waiter.wait_deadline:
             self._set_timer(waiter.spill_at)
         if len(self.queue) > self.load.policy.max_waiting:
-            return [self._refuse_waiter(self.queue.find_longest(), Reason.QUEUE_FULL)]
+            return [
+                self._refuse_waiter(
+                    self.queue.find_newest_of_longest(), Reason.QUEUE_FULL
+                )
+            ]
         return []
 
     def _serve_waiting(self, now: float) -> list[Decision]:
--- a/src/ramppin/router/process/routing/queue.py
+++ b/src/ramppin/router/process/routing/queue.py
@@ -108,7 +108,7 @@
         queue = self._queues.get(customer)
         return len(queue.waiters) if queue else 0
 
-    def find_longest(self) -> Waiter:
+    def find_newest_of_longest(self) -> Waiter:
         """Return the newest waiter of the customer that waits most.
 
         Queue lengths are compared by weight. Raises ValueError when empty.
