--- a/src/ramppin/router/process/routing/allocator.py
+++ b/src/ramppin/router/process/routing/allocator.py
@@ -144,7 +144,7 @@
         if held:
             self._note_result(held.server, now, failed=failed)
         if held and running:
-            self.load.orphan(place, now)
+            self.load.mark_orphaned(place, now)
             self._set_timer(now + self.load.policy.orphan_hold_s)
         elif held:
             self.load.free(place)
@@ -156,7 +156,7 @@
         """Count a place that a VM says it holds."""
         held = self.load.held.get(place)
         if held:
-            self.load.adopt(place)
+            self.load.unmark_orphaned(place)
             return
         known = self.load.servers.get(server)
         if known:
@@ -173,7 +173,7 @@
             self.queue.remove(waiter.request.place)
             self._customers.add(waiter.request.customer, waiting=-1)
         for place in self.load.list_places(vm):
-            self.load.orphan(place, now)
+            self.load.mark_orphaned(place, now)
         self._set_timer(now + self.load.policy.orphan_hold_s)
         return self._serve_waiting(now)
 
--- a/src/ramppin/router/process/routing/load.py
+++ b/src/ramppin/router/process/routing/load.py
@@ -226,7 +226,7 @@
         """Return how many places each VM holds."""
         return {vm: len(places) for vm, places in self._by_vm.items() if places}
 
-    def orphan(self, place: PlaceId, now: float) -> None:
+    def mark_orphaned(self, place: PlaceId, now: float) -> None:
         """Mark a place that nobody answers for; its request may still run."""
         held = self.held.get(place)
         if held and held.orphaned_at is None:
@@ -234,7 +234,7 @@
             self._orphans[place] = held
             self.doubtful += held.server.serving
 
-    def adopt(self, place: PlaceId) -> None:
+    def unmark_orphaned(self, place: PlaceId) -> None:
         """Take back the mark of a place whose VM is there again."""
         held = self.held[place]
         if held.orphaned_at is not None:
