--- a/src/ramppin/router/process/routing/load.py
+++ b/src/ramppin/router/process/routing/load.py
@@ -169,7 +169,7 @@
             server = self.servers.setdefault(name, ServerLoad(name))
             server.failure_domain = member.failure_domain
             server.leaving = member.leaving
-        self._sum_up()
+        self._recompute_totals()
 
     def note_granted(self, now: float) -> None:
         """Note that a place was granted: its request is in transit."""
@@ -285,7 +285,7 @@
         pause = min(self.policy.suspend_s * 2**server.suspensions, MAX_SUSPEND_S)
         server.suspensions += 1
         server.suspended_until = now + pause
-        self._sum_up()
+        self._recompute_totals()
         return server.suspended_until
 
     def end_suspensions(self, now: float) -> None:
@@ -295,9 +295,9 @@
                 server.suspended_until = 0.0
                 server.failures = self.policy.suspend_after - 1
                 server.ramp = 1
-        self._sum_up()
+        self._recompute_totals()
 
-    def _sum_up(self) -> None:
+    def _recompute_totals(self) -> None:
         serving = [server for server in self.servers.values() if server.serving]
         self.serving = serving
         self.members = len(serving)
