--- a/src/ramppin/router/process/routing/allocator.py
+++ b/src/ramppin/router/process/routing/allocator.py
@@ -360,7 +360,7 @@
         orphans = self.load.list_orphans(server)
         if not orphans and not server.unexplained:
             return
-        alive = max(0, running - self.load.count_since_before(server, as_of))
+        alive = max(0, running - self.load.count_running_since(server, as_of))
         if server.unexplained > alive and as_of > server.unexplained_at:
             self.load.set_unexplained(server, alive, server.unexplained_at)
         alive -= server.unexplained
--- a/src/ramppin/router/process/routing/load.py
+++ b/src/ramppin/router/process/routing/load.py
@@ -250,7 +250,7 @@
             if server is None or held.server is server
         ]
 
-    def count_since_before(self, server: ServerLoad, moment: float) -> int:
+    def count_running_since(self, server: ServerLoad, moment: float) -> int:
         """Return the places whose requests surely ran at a moment, and run on."""
         latest = moment - START_TRANSIT_S
         return sum(
