--- a/src/ramppin/router/process/routing/choice.py
+++ b/src/ramppin/router/process/routing/choice.py
@@ -63,17 +63,17 @@
         self, request: PlaceRequest, ranked: list[ServerLoad], home: ServerLoad | None
     ) -> Choice | None:
         cap = self._load.cap
-        open_ones = [
+        available = [
             server
             for server in ranked
             if server is not home and self._load.has_room(server, cap)
         ]
-        if not open_ones:
+        if not available:
             return None
-        chosen = open_ones[0]
+        chosen = available[0]
         reason = Reason.FIRST_CHOICE if chosen is ranked[0] else Reason.SPILLED
         if self._load.policy.spill == "lesser":
-            second = open_ones[min(1, len(open_ones) - 1)]
+            second = available[min(1, len(available) - 1)]
             if second.count < chosen.count:
                 chosen, reason = second, Reason.LESSER_OF_TWO
         if request.exclude:
