--- a/src/ramppin/router/process/router.py
+++ b/src/ramppin/router/process/router.py
@@ -152,7 +152,7 @@
     async def _run_ticks(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
-            self.placer.beat()
+            self.placer.detect_pause()
             wake = self.host.next_wake()
             if wake is not None and wake <= self.clock():
                 self.host.tick(self.clock())
--- a/src/ramppin/router/process/routing/placer.py
+++ b/src/ramppin/router/process/routing/placer.py
@@ -133,7 +133,7 @@
         self._customers: dict[int, str] = {}
         self._synced: set[tuple[str, str, int]] = set()
         self._changed = asyncio.Event()
-        self._beat_at = clock()
+        self._checked_at = clock()
         self._pauses = 0
 
     @property
@@ -185,24 +185,24 @@
         self._customers.pop(place.number, None)
         self._send_free(place.shard, place.number, failed=failed, running=running)
 
-    def beat(self) -> None:
+    def detect_pause(self) -> None:
         """Note that the loop runs; a long gap since the last time is a pause.
 
         While this VM was paused its places may have been given away. What it
         asked for before is asked again.
         """
         now = self._clock()
-        if now - self._beat_at > PAUSE_S:
-            LOG.warning("paused for %.1f s", now - self._beat_at)
+        if now - self._checked_at > PAUSE_S:
+            LOG.warning("paused for %.1f s", now - self._checked_at)
             self._pauses += 1
             for number, pending in self._pending.items():
                 _resolve(pending, None)
                 self._send_free(pending.shard, number)
-        self._beat_at = now
+        self._checked_at = now
 
     def is_good(self, place: Place) -> bool:
         """Return whether a request may still be sent with a place."""
-        self.beat()
+        self.detect_pause()
         return place.pauses == self._pauses and place.number in self._held
 
     def note_owners(self) -> None:
@@ -248,7 +248,7 @@
 
     def decide(self, decision: Decision, epoch: int | None) -> None:
         """Take in a decision about a request of this VM."""
-        self.beat()
+        self.detect_pause()
         pending = self._pending.get(decision.place.number)
         if pending and (epoch is None or pending.epoch == epoch):
             _resolve(pending, decision)
