--- a/src/ramppin/router/process/parts.py
+++ b/src/ramppin/router/process/parts.py
@@ -145,7 +145,7 @@
             config.fleet_key,
             find_address=self.membership.find_address,
             on_message=lambda vm, message: self.placer.receive(vm, message),
-            on_down=lambda vm: self.placer.drop_link(vm),
+            on_down=lambda vm: self.placer.handle_link_down(vm),
             meter=self.meter,
         )
 
--- a/src/ramppin/router/process/routing/placer.py
+++ b/src/ramppin/router/process/routing/placer.py
@@ -253,7 +253,7 @@
         if pending and (epoch is None or pending.epoch == epoch):
             _resolve(pending, decision)
 
-    def drop_link(self, vm: str) -> None:
+    def handle_link_down(self, vm: str) -> None:
         """Take in that the link to a VM ended."""
         self._synced = {entry for entry in self._synced if entry[0] != vm}
         for pending in self._pending.values():
