--- a/src/ramppin/router/process/parts.py
+++ b/src/ramppin/router/process/parts.py
@@ -178,7 +178,7 @@
             resolve=self._resolve_ask,
             clock=self.clock,
         )
-        self.ownership.on_owners = self.placer.note_owners
+        self.ownership.on_owners = self.placer.handle_owner_change
         self.follower = SettingsFollower(
             config.vm,
             self._log,
--- a/src/ramppin/router/process/routing/placer.py
+++ b/src/ramppin/router/process/routing/placer.py
@@ -205,7 +205,7 @@
         self.detect_pause()
         return place.pauses == self._pauses and place.number in self._held
 
-    def note_owners(self) -> None:
+    def handle_owner_change(self) -> None:
         """Take in that some shard's owner or epoch changed."""
         for pending in self._pending.values():
             lease = self._table.find_owner(pending.shard)
