--- a/src/ramppin/router/process/routing/homes.py
+++ b/src/ramppin/router/process/routing/homes.py
@@ -18,28 +18,28 @@
 
     def __init__(self, *, keep: int = 50_000) -> None:
         self._keep = keep
-        self._young: dict[int, str] = {}
-        self._old: dict[int, str] = {}
+        self._recent: dict[int, str] = {}
+        self._previous: dict[int, str] = {}
 
     def __len__(self) -> int:
-        return len(self._young) + len(self._old)
+        return len(self._recent) + len(self._previous)
 
     def find(self, chat: int) -> str | None:
         """Return the backend server that a chat moved to, or None."""
-        server = self._young.get(chat)
-        if server is None and chat in self._old:
-            server = self._old.pop(chat)
+        server = self._recent.get(chat)
+        if server is None and chat in self._previous:
+            server = self._previous.pop(chat)
             self.put(chat, server)
         return server
 
     def put(self, chat: int, server: str) -> None:
         """Remember where a chat is now."""
-        self._young[chat] = server
-        if len(self._young) >= self._keep:
-            self._old = self._young
-            self._young = {}
+        self._recent[chat] = server
+        if len(self._recent) >= self._keep:
+            self._previous = self._recent
+            self._recent = {}
 
     def forget(self, chat: int) -> None:
         """Forget a chat."""
-        self._young.pop(chat, None)
-        self._old.pop(chat, None)
+        self._recent.pop(chat, None)
+        self._previous.pop(chat, None)
