--- a/src/ramppin/router/process/claims/claiming.py
+++ b/src/ramppin/router/process/claims/claiming.py
@@ -47,7 +47,7 @@
         client: the log's client.
         table: all claims, from the log.
         held: the claims that this VM holds.
-        hurry: makes the stream's reader read at once.
+        request_read: makes the stream's reader read at once.
         wall_clock: seconds since the epoch.
 
     .. versionadded:: 0.1
@@ -61,7 +61,7 @@
         table: ClaimTable,
         held: HeldClaims,
         *,
-        hurry: Callable[[], None] = lambda: None,
+        request_read: Callable[[], None] = lambda: None,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self.appends = 0
@@ -70,7 +70,7 @@
         self._client = client
         self._table = table
         self._held = held
-        self._hurry = hurry
+        self._request_read = request_read
         self._wall_clock = wall_clock
         self._queue: asyncio.Queue[_Waiting] = asyncio.Queue()
         self._numbers = itertools.count(1)
@@ -127,7 +127,7 @@
         self.appends += 1
         try:
             await self._client.append(STREAM, record)
-            self._hurry()
+            self._request_read()
         except AppendUnknownError as error:
             # It may be in the log: the tail shows it, or the wait runs out.
             LOG.warning("claim's answer lost: %s", error, extra={"step": "claim"})
--- a/src/ramppin/router/process/parts.py
+++ b/src/ramppin/router/process/parts.py
@@ -208,7 +208,7 @@
             self._log,
             self.claims,
             self.held_claims,
-            hurry=lambda: self.claims_tail.hurry(),
+            request_read=lambda: self.claims_tail.hurry(),
             wall_clock=self.wall_clock,
         )
         self.claims_tail = Tail(
