--- a/src/ramppin/router/process/claims/claims.py
+++ b/src/ramppin/router/process/claims/claims.py
@@ -135,7 +135,7 @@
             value: the record.
             now: wall-clock time, to forget claims past the window.
         """
-        self._forget(now)
+        self._evict_expired(now)
         try:
             record = ClaimRecord.model_validate(value)
         except ValidationError:
@@ -166,7 +166,7 @@
         """Return whether a key claims to be made later than now."""
         return issued > now + CLOCK_SKEW_S
 
-    def _forget(self, now: float) -> None:
+    def _evict_expired(self, now: float) -> None:
         limit = now - self.window_s - 2 * CLOCK_SKEW_S
         while self._by_age and self._by_age[0][0] < limit:
             _, key = self._by_age.popleft()
@@ -273,7 +273,7 @@
         held.state = ClaimState.RAN if answer else ClaimState.UNKNOWN
         held.answer = answer
         self._bytes += len(answer.body or b"") if answer else 0
-        self._shrink()
+        self._evict_bodies()
 
     def hand_over(self, key: str, taker: str) -> bool:
         """Give a claim whose request was never sent to another VM's request.
@@ -292,7 +292,7 @@
         held.taker = taker
         return True
 
-    def _shrink(self) -> None:
+    def _evict_bodies(self) -> None:
         for held in self._held.values():
             if self._bytes <= self.max_bytes:
                 return
