--- a/features/steps/generated_steps.py
+++ b/features/steps/generated_steps.py
@@ -258,7 +258,7 @@
 
     def may_grant(self, vm) -> bool:
         holder = self.holders[vm]
-        start = holder.get_start("pool")
+        start = holder.get_grant_start("pool")
         started = start is not None and self.now >= start
         return started and holder.may_grant("pool", self.now)
 
--- a/src/ramppin/router/process/membership/leases.py
+++ b/src/ramppin/router/process/membership/leases.py
@@ -223,7 +223,7 @@
             return False
         return self._valid_until.get((shard, epoch), 0.0) > now
 
-    def get_start(self, shard: str) -> float | None:
+    def get_grant_start(self, shard: str) -> float | None:
         """Return when a newly claimed shard's former owner must have stopped.
 
         None if this VM doesn't own the shard. A former owner may have lived on
--- a/src/ramppin/router/process/routing/shards.py
+++ b/src/ramppin/router/process/routing/shards.py
@@ -232,7 +232,7 @@
     def _is_counted(
         self, shard: str, owned: OwnedShard, vms: Sequence[str], now: float
     ) -> bool:
-        start = self._holder.get_start(shard)
+        start = self._holder.get_grant_start(shard)
         if start is None or now < start or not owned.loads_seen:
             return False
         missing = set(vms) - owned.synced - {self._vm}
