--- a/src/ramppin/router/process/membership/leases.py
+++ b/src/ramppin/router/process/membership/leases.py
@@ -184,7 +184,7 @@
         self._sent: dict[int, float] = {}
         self._renewed_at = float("-inf")
         self._valid_until: dict[tuple[str, int], float] = {}
-        self._log_since: float | None = None
+        self._log_up_since: float | None = None
         self._draining = False
 
     def apply(self, offset: int, value: object, now: float) -> None:
@@ -200,9 +200,9 @@
     def note_log(self, now: float, *, up: bool) -> None:
         """Note whether the log could be read; time without it proves nothing."""
         if not up:
-            self._log_since = None
-        elif self._log_since is None:
-            self._log_since = now
+            self._log_up_since = None
+        elif self._log_up_since is None:
+            self._log_up_since = now
 
     def drain(self) -> None:
         """Claim nothing more."""
@@ -304,16 +304,16 @@
         )
 
     def _should_claim(self, shard: str, vms: Sequence[str], now: float) -> bool:
-        if self._draining or self._log_since is None or self._vm not in vms:
+        if self._draining or self._log_up_since is None or self._vm not in vms:
             return False
         lease = self.table.leases.get(shard)
         if lease and self._is_mine(lease.vm, lease.run) and not lease.released:
             return False
         turn = rank_vms(shard, vms).index(self._vm) * self._ttl_s / 4
-        quiet_since = self._log_since
+        lease_free_at = self._log_up_since
         if lease and not lease.released:
-            quiet_since = max(lease.seen_at, self._log_since) + self._ttl_s
-        return now >= quiet_since + turn
+            lease_free_at = max(lease.seen_at, self._log_up_since) + self._ttl_s
+        return now >= lease_free_at + turn
 
     def _extend(self, epochs: dict[str, int], until: float) -> None:
         for shard, epoch in epochs.items():
