--- a/src/ramppin/router/process/routing/placer.py
+++ b/src/ramppin/router/process/routing/placer.py
@@ -200,7 +200,7 @@
                 self._send_free(pending.shard, number)
         self._checked_at = now
 
-    def is_good(self, place: Place) -> bool:
+    def is_valid(self, place: Place) -> bool:
         """Return whether a request may still be sent with a place."""
         self.detect_pause()
         return place.pauses == self._pauses and place.number in self._held
--- a/src/ramppin/router/request/run.py
+++ b/src/ramppin/router/request/run.py
@@ -238,7 +238,7 @@
         request = replace(
             built,
             timeout_s=built.timeout_s + self._orphan_hold_s,
-            may_send=lambda: self.context.placer.is_good(place),
+            may_send=lambda: self.context.placer.is_valid(place),
         )
         self.sent = True
         return self.context.spawn(self.context.backends.send(server, address, request))
