--- a/src/ramppin/router/connection/backends.py
+++ b/src/ramppin/router/connection/backends.py
@@ -19,10 +19,13 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0
-"""Seconds for a connection to a backend server to come up."""
+"""Time limit for connecting to a backend server, in seconds."""
 
 REPORT_TIMEOUT_S = 0.5
-"""Seconds that a read of a backend server's load may take."""
+"""Time limit for reading a load report or cache events, in seconds.
+
+Also limits the cancellation of a stream.
+"""
 
 
 HOP_BY_HOP = frozenset(
@@ -38,15 +41,15 @@
         "upgrade",
     }
 )
-"""Headers that belong to one connection (RFC 9110, section 7.6.1)."""
+"""Header fields that apply to a single connection (RFC 9110, section 7.6.1)."""
 
 
 class LoadReport(BaseModel):
-    """A backend server's load report.
+    """The load that a backend server reports.
 
     Attributes:
-        running: requests that it held.
-        age_s: how old the report is, in seconds.
+        running: number of requests on the backend server.
+        age_s: age of the report, in seconds.
     """
 
     running: int
@@ -54,12 +57,12 @@
 
 
 class CacheEvent(BaseModel):
-    """One change of an engine's prefix cache.
+    """A change of an engine's prefix cache.
 
     Attributes:
-        number: counts the engine's events; gaps are events that were lost.
-        chat: the chat's key in hex.
-        present: whether its prefix is cached now.
+        number: sequence number of the event; a gap means that events were lost.
+        chat: hash key of the chat, in hex.
+        present: whether the prefix of the chat is now cached.
     """
 
     number: int
@@ -73,18 +76,18 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendRequest:
-    """A request as it goes to a backend server.
+    """A request to a backend server.
 
     Attributes:
         method: the HTTP method.
         path: path and query.
-        headers: the headers.
-        body: the whole body, or its parts.
-        timeout_s: until the answer's end.
+        headers: the header fields.
+        body: the complete body, or an iterator of its parts.
+        timeout_s: time limit up to the end of the answer, in seconds.
         fresh: whether to use a new connection, on which a failure to connect
             shows that nothing was sent.
-        may_send: asked when the connection is there, just before the first
-            byte leaves.
+        may_send: called once the connection is open, just before the first
+            byte is sent; the request is stopped if it returns False.
     """
 
     method: str
@@ -97,7 +100,7 @@
 
 
 class BackendAnswer:
-    """An answer whose head has come.
+    """An answer whose status and header fields have been received.
 
     Args:
         server: name of the backend server.
@@ -112,25 +115,25 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def set_timeout(self, seconds: float) -> None:
-        """Break the answer off unless it ends in time; replaces a former limit."""
+        """Close the connection unless the answer ends in time; replaces any timeout."""
         if self._timer:
             self._timer.cancel()
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(seconds, self._response.close)
 
     async def read(self) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
         Raises:
-            BrokenAnswerError: the answer ended before it was whole.
+            BrokenAnswerError: the answer ended before it was complete.
         """
         return b"".join([part async for part in self.iter_parts()])
 
     async def iter_parts(self) -> AsyncIterator[bytes]:
-        """Yield the body as it comes.
+        """Yield the parts of the body as they arrive.
 
         Raises:
-            BrokenAnswerError: the answer ended before it was whole.
+            BrokenAnswerError: the answer ended before it was complete.
         """
         try:
             async for part in self._response.content.iter_any():
@@ -144,7 +147,7 @@
                 self._timer.cancel()
 
     def close(self) -> None:
-        """Drop the connection if the answer is not over."""
+        """Close the connection unless the answer has been read to its end."""
         if self._timer:
             self._timer.cancel()
         self._response.close()
@@ -154,8 +157,8 @@
     """Sends requests to backend servers.
 
     Args:
-        session: for requests that may share connections.
-        fresh_session: for requests that need a connection of their own.
+        session: for requests that may reuse a connection.
+        fresh_session: for requests that need a new connection.
 
     .. versionadded:: 0.1
     """
@@ -169,11 +172,11 @@
     async def send(
         self, server: str, address: str, request: BackendRequest
     ) -> BackendAnswer:
-        """Send a request and return its answer's head.
+        """Send a request; return when the answer's header fields have arrived.
 
         Raises:
-            NotSentError: no byte of the request left.
-            BrokenAnswerError: it may have run, and its answer is lost.
+            NotSentError: no byte of the request was sent.
+            BrokenAnswerError: the request may have run, but its answer is lost.
         """
         session = self._fresh_session if request.fresh else self._session
         timeout = aiohttp.ClientTimeout(
@@ -200,14 +203,14 @@
         return BackendAnswer(server, response)
 
     async def cancel_stream(self, address: str, stream: str) -> None:
-        """Tell an engine that nobody wants a stream any more."""
+        """Cancel a stream on an engine."""
         await self._request("DELETE", f"http://{address}/v1/streams/{stream}")
 
     async def read_load(self, address: str) -> LoadReport:
         """Return a backend server's load report.
 
         Raises:
-            RamppinError: there was none.
+            RamppinError: no valid report was received.
         """
         body = await self._request("GET", f"http://{address}/load")
         try:
@@ -216,10 +219,10 @@
             raise RamppinError(str(error), step="load", peer=address) from error
 
     async def read_cache_events(self, address: str, after: int) -> list[CacheEvent]:
-        """Return an engine's cache events past a number.
+        """Return an engine's cache events after a sequence number.
 
         Raises:
-            RamppinError: there was no answer.
+            RamppinError: no valid answer was received.
         """
         url = f"http://{address}/cache/events?after={after}"
         body = await self._request("GET", url)
@@ -241,7 +244,7 @@
 async def _check_may_send(
     session: aiohttp.ClientSession, context: SimpleNamespace, params: object
 ) -> None:
-    """Stop a request at the last moment before its first byte leaves."""
+    """Stop a request before its first byte is sent if it may not be sent."""
     may_send: Callable[[], bool] | None = context.trace_request_ctx
     if may_send is not None and not may_send():
         raise PlaceLostError("the place is not held any more", step="send")
@@ -255,7 +258,7 @@
 
 
 def build_sessions() -> tuple[aiohttp.ClientSession, aiohttp.ClientSession]:
-    """Return a session that shares connections, and one that never does."""
+    """Return a session that reuses connections, and one that never does."""
     shared = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=15.0),
         auto_decompress=False,
@@ -266,18 +269,18 @@
         auto_decompress=False,
         trace_configs=[_build_trace()],
     )
-    # aiohttp would send an idempotent method a second time on its own when a
-    # shared connection turns out to be closed; a request is sent once here.
+    # aiohttp sends a request with an idempotent method again when a reused
+    # connection turns out to be closed. A request must be sent only once.
     for session in (shared, fresh):
         session._retry_connection = False
     return shared, fresh
 
 
 def filter_headers(headers: Mapping[str, str], *drop: str) -> dict[str, str]:
-    """Return headers without those of one connection and those named.
+    """Return the header fields without hop-by-hop and excluded ones.
 
     Args:
-        headers: the headers.
+        headers: the header fields.
         drop: further names to leave out, in lower case.
     """
     connection_options = headers.get("connection", "").lower().split(",")
