--- a/src/ramppin/router/connection/links.py
+++ b/src/ramppin/router/connection/links.py
@@ -1,7 +1,7 @@
-"""Links between the VMs of the fleet: websockets that carry CBOR messages.
+"""Links between router VMs: websockets that carry CBOR messages.
 
-A VM opens a link to each VM that it asks something of. Either end drops a
-link that breaks the protocol. A link needs the fleet's key.
+A VM opens a link to each VM that it sends requests to. Either end closes a
+link that violates the protocol. A link is authenticated by the fleet's key.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
 LOG = logging.getLogger(__name__)
 
 PING_INTERVAL_S = 1.0
-"""Seconds between two pings of a link."""
+"""Interval between two pings on a link, in seconds."""
 
 PING_TIMEOUT_S = 1.0
-"""Seconds without a pong after which a link is down."""
+"""Time without a pong after which a link counts as down, in seconds."""
 
 OPEN_TIMEOUT_S = 1.0
-"""Seconds for a link to open."""
+"""Time limit for opening a link, in seconds."""
 
 CLOSE_TIMEOUT_S = 0.5
-"""Seconds for a link to close."""
+"""Time limit for closing a link, in seconds."""
 
 VM_HEADER = "Ramppin-VM"
 PROTOCOL_HEADER = "Ramppin-Protocol"
@@ -55,7 +55,7 @@
 
 
 class Meter:
-    """Counts messages and bytes by direction and kind."""
+    """Counts messages and bytes by direction and message type."""
 
     def __init__(self) -> None:
         self.bytes: dict[tuple[str, str], int] = {}
@@ -69,7 +69,7 @@
 
 
 class Outbox:
-    """Sends messages in order; never blocks the caller."""
+    """Sends messages in order from a queue; :meth:`put` never blocks."""
 
     def __init__(self, socket: ServerConnection | ClientConnection, meter: Meter):
         self._socket = socket
@@ -82,7 +82,7 @@
         self._queue.put_nowait(message)
 
     async def close(self) -> None:
-        """Send nothing more."""
+        """Stop sending; messages still queued are dropped."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
 
@@ -96,14 +96,14 @@
 
 
 class PeerLink:
-    """A link that this VM opened to another.
+    """A link that this VM opened to another VM.
 
     Args:
-        vm: the other VM.
+        vm: name of the other VM.
         socket: the connection.
         meter: counts messages.
-        on_message: gets each message that is no reply to a call.
-        on_down: told when the link ends.
+        on_message: called with each message that is not a reply to a call.
+        on_down: called when the link ends.
     """
 
     def __init__(
@@ -129,7 +129,7 @@
         self._outbox.put(message)
 
     async def call(self, message: _Call, timeout_s: float) -> Reply:
-        """Send a message that has a reply, and return the reply.
+        """Send a message and return its reply.
 
         Raises:
             PeerUnavailableError: no reply came in time.
@@ -182,30 +182,30 @@
     meter: Meter,
     receiver: Callable[[Message], Awaitable[None]],
 ) -> None:
-    """Pass on the messages of a link until it ends; drop it if it breaks rules."""
+    """Handle messages until the link ends; close it on a protocol error."""
     try:
         async for data in socket:
             if isinstance(data, str):
-                raise ProtocolError("text frame", step="receive", peer=vm)
+                raise ProtocolError("unexpected text frame", step="receive", peer=vm)
             message = decode_message(data, vm)
             meter.count("received", type(message).__name__, len(data))
             await receiver(message)
     except ConnectionClosed:
         pass
     except ProtocolError as error:
-        LOG.warning("link dropped: %s", error, extra={"step": error.step, "peer": vm})
+        LOG.warning("link closed: %s", error, extra={"step": error.step, "peer": vm})
         await socket.close(1002, "protocol error")
 
 
 class PeerLinks:
-    """The links that this VM opens, each when it is first needed.
+    """The links that this VM opens, each on first use.
 
     Args:
-        vm: this VM's name.
+        vm: name of this VM.
         key: the fleet's key.
         find_address: returns the ``IP:port`` of a VM, or None.
-        on_message: gets each message that is no reply to a call.
-        on_down: told the VM whose link ended.
+        on_message: called with each message that is not a reply to a call.
+        on_down: called with the name of the VM whose link ended.
         meter: counts messages.
 
     .. versionadded:: 0.1
@@ -232,7 +232,7 @@
         self._numbers = itertools.count(1)
 
     def next_call(self) -> int:
-        """Return a number for a call."""
+        """Return a unique number for a call."""
         return next(self._numbers)
 
     def find(self, vm: str) -> PeerLink | None:
@@ -240,7 +240,7 @@
         return self._links.get(vm)
 
     async def open(self, vm: str) -> PeerLink:
-        """Return the link to a VM, opened if need be.
+        """Return the link to a VM; open one if there is none.
 
         Raises:
             PeerUnavailableError: the VM could not be reached.
@@ -265,7 +265,7 @@
     def _note_opened(self, vm: str, task: asyncio.Task[PeerLink]) -> None:
         self._opening.pop(vm, None)
         if not task.cancelled() and task.exception():
-            LOG.debug("no link: %s", task.exception(), extra={"peer": vm})
+            LOG.debug("link not opened: %s", task.exception(), extra={"peer": vm})
 
     async def _open(self, vm: str) -> PeerLink:
         address = self._find_address(vm)
