--- a/src/ramppin/router/connection/listener.py
+++ b/src/ramppin/router/connection/listener.py
@@ -1,4 +1,4 @@
-"""HTTP listeners: uvicorn in this process's loop, with limits on callers."""
+"""HTTP listeners: uvicorn in the event loop, with connection limits."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from uvicorn.protocols.http.h11_impl import H11Protocol
 
 MAX_HEADER_BYTES = 32 * 1024
-"""Bytes of the largest head of a request."""
+"""Maximum size of a request's head, in bytes."""
 
 HEADER_TIMEOUT_S = 10.0
-"""Seconds in which a head must arrive."""
+"""Time limit for the first request head on a connection, in seconds."""
 
 KEEP_ALIVE_S = 75.0
-"""Seconds for which an idle connection of a caller is kept."""
+"""Time for which an idle keep-alive connection stays open, in seconds."""
 
 BACKLOG = 2048
-"""Connections that the kernel keeps until they are accepted."""
+"""Maximum number of connections that wait in the kernel to be accepted."""
 
 
 class _LimitedProtocol(H11Protocol):
-    """Drops connections past a limit, and those whose first head is late."""
+    """Closes connections over the limit, and those whose first head is late."""
 
     max_connections = 1
 
@@ -45,7 +45,7 @@
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves the process's signals to the process."""
+    """A uvicorn server that does not install signal handlers."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -53,13 +53,13 @@
 
 
 class Listener:
-    """Serves an app on an address of its own.
+    """Serves an ASGI app on its own address.
 
     Args:
         app: the ASGI app.
         host: address to listen on.
-        port: port to listen on; 0 picks a free one.
-        max_connections: connections at a time; more are dropped.
+        port: port to listen on; 0 selects a free port.
+        max_connections: maximum number of open connections; more are aborted.
 
     .. versionadded:: 0.1
     """
@@ -68,8 +68,8 @@
         self, app: ASGIApp, host: str, port: int, *, max_connections: int
     ) -> None:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        # asyncio turns Nagle's algorithm off only for sockets that name TCP;
-        # with it on, the last part of an answer waits 40 ms for an ACK.
+        # asyncio disables Nagle's algorithm only on sockets created with
+        # IPPROTO_TCP; otherwise the end of an answer waits 40 ms for an ACK.
         self._socket = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.bind((host, port))
@@ -93,14 +93,14 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start to serve."""
+        """Start serving."""
         self._task = asyncio.create_task(self._server.serve(sockets=[self._socket]))
 
     async def stop(self, *, force: bool = False) -> None:
-        """Stop to listen, and return when what is in flight has ended.
+        """Stop listening, and return when the requests in flight have ended.
 
         Args:
-            force: drop what is in flight.
+            force: whether to drop the requests in flight.
         """
         self._server.should_exit = True
         self._server.force_exit = force
