--- a/src/ramppin/router/connection/log.py
+++ b/src/ramppin/router/connection/log.py
@@ -1,8 +1,8 @@
-"""The client of the platform's append-only log service.
+"""Client of the platform's append-only log service.
 
-The service speaks HTTP: ``POST /streams/NAME`` appends a JSON record and
-answers its offset; ``GET /streams/NAME?from=N&wait=S`` answers the records
-from an offset on, and waits for one at the end of the stream.
+The service has an HTTP API: ``POST /streams/NAME`` appends a JSON record and
+returns its offset; ``GET /streams/NAME?from=N&wait=S`` returns the records
+from an offset on, and at the end of the stream waits for the next record.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from ramppin.errors import AppendUnknownError, LogTrimmedError, LogUnavailableError
 
 NOT_APPENDED_STATUSES = frozenset({400, 401, 403, 404, 413, 429, 503})
-"""Statuses by which the service says that a record was not appended."""
+"""HTTP statuses which mean that the record was not appended."""
 
 
 class _AppendReply(BaseModel):
@@ -31,12 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Records of a stream.
+    """Records that one read returned.
 
     Attributes:
-        first: lowest offset that the service still keeps.
-        next: offset to read from next.
-        records: offsets with their records.
+        first: lowest offset that the service retains.
+        next: offset from which to read next.
+        records: pairs of an offset and a record.
     """
 
     first: int
@@ -48,11 +48,11 @@
     """Appends to the log service and reads from it.
 
     Args:
-        base_url: where the service is, for instance ``http://10.0.0.9:7000``.
+        base_url: URL of the service, for instance ``http://10.0.0.9:7000``.
         session: the HTTP client session to use.
-        vm: name by which the service knows this VM.
-        timeout_s: for one append or the answer to a read, its wait aside.
-        on_append: told the stream of each append that is tried.
+        vm: name of this VM, sent with each request.
+        timeout_s: time limit for an append, or for a read without its wait.
+        on_append: called with the stream's name before each append.
 
     .. versionadded:: 0.1
     """
@@ -76,7 +76,7 @@
         """Append a record and return its offset.
 
         Raises:
-            AppendUnknownError: the answer was lost; it may have taken effect.
+            AppendUnknownError: it is unknown whether the record was appended.
             LogUnavailableError: the record was not appended.
         """
         url = f"{self._base_url}/streams/{stream}"
@@ -110,12 +110,12 @@
 
         Args:
             stream: the stream's name.
-            start: lowest offset wanted.
-            wait_s: how long to wait at the end of the stream for a record.
-            limit: most records to answer.
+            start: offset from which to read.
+            wait_s: how long to wait for a record at the end of the stream.
+            limit: maximum number of records to return.
 
         Raises:
-            LogTrimmedError: the records at ``start`` are past retention.
+            LogTrimmedError: the record at ``start`` is no longer retained.
             LogUnavailableError: the service could not be read.
         """
         url = f"{self._base_url}/streams/{stream}"
