--- a/src/ramppin/router/connection/operator.py
+++ b/src/ramppin/router/connection/operator.py
@@ -1,4 +1,4 @@
-"""The client of a router VM's operators' listener."""
+"""Client of the operators' HTTP listener of a router VM."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 )
 
 TIMEOUT_S = 10.0
-"""Seconds that an operator's call may take."""
+"""Time limit for a call to the operators' listener, in seconds."""
 
 
 _ERRORS: dict[int, type[RamppinError]] = {409: ConflictError, 503: LogUnavailableError}
-"""Errors by the HTTP status with which a router answers an operator."""
+"""Error classes by HTTP status of the answer."""
 
 
 class OperatorClient:
-    """Asks one router VM what an operator wants to know.
+    """Calls the operators' listener of one router VM.
 
     Args:
-        url: operators' address of the VM.
+        url: URL of the VM's operators' listener.
         key: the operators' key.
     """
 
@@ -36,19 +36,19 @@
         self._key = key
 
     async def get(self, path: str) -> dict[str, Any]:
-        """Return what the VM answers.
+        """Send a GET request and return the answer.
 
         Raises:
-            RamppinError: it refused, or could not be reached.
+            RamppinError: the VM refused the call, or could not be reached.
         """
         return await self._send("GET", path, None)
 
     async def post(self, path: str) -> dict[str, Any]:
-        """Order something; returns the answer. Raises as :meth:`get`."""
+        """Send a POST request and return the answer. Raises as :meth:`get`."""
         return await self._send("POST", path, None)
 
     async def publish(self, body: dict[str, Any]) -> dict[str, Any]:
-        """Publish a change; returns what became of it. Raises as :meth:`get`."""
+        """Publish a settings change; return the result. Raises as :meth:`get`."""
         return await self._send("POST", "/settings", body)
 
     async def _send(
