--- a/src/ramppin/router/connection/peerserver.py
+++ b/src/ramppin/router/connection/peerserver.py
@@ -1,4 +1,4 @@
-"""The end of a link that another VM opened."""
+"""Server for the links that other VMs open to this VM."""
 
 from __future__ import annotations
 
@@ -33,21 +33,21 @@
 
 
 class PeerHandler(ABC):
-    """What a VM does with the messages of other VMs."""
+    """Handles the messages that other VMs send over their links."""
 
     @abstractmethod
     async def handle_message(self, vm: str, message: Message, send: Send) -> None:
-        """Handle a message that came over a link which another VM opened.
+        """Handle a message from a link that another VM opened.
 
         Args:
-            vm: who sent it.
+            vm: name of the VM that sent it.
             message: the message.
-            send: queues a message back over the same link.
+            send: queues a message to that VM on the same link.
         """
 
     @abstractmethod
     def handle_link_down(self, vm: str) -> None:
-        """Handle the end of a link which another VM opened."""
+        """Handle the end of the newest link that another VM opened."""
 
 
 class PeerServer:
@@ -55,10 +55,10 @@
 
     Args:
         host: address to listen on.
-        port: port to listen on; 0 picks a free one.
+        port: port to listen on; 0 selects a free port.
         key: the fleet's key.
-        handler: gets the messages.
-        meter: counts them.
+        handler: handles the messages.
+        meter: counts the messages.
 
     .. versionadded:: 0.1
     """
@@ -76,13 +76,13 @@
 
     @property
     def port(self) -> int:
-        """The port that is listened on."""
+        """The port that the server listens on."""
         if self._server is None:
             return self._port
         return int(next(iter(self._server.sockets)).getsockname()[1])
 
     async def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server = await serve(
             self._serve_link,
             self._host,
@@ -97,7 +97,7 @@
         )
 
     async def stop(self) -> None:
-        """Close all links and stop to listen."""
+        """Close all links and stop listening."""
         if self._server:
             self._server.close()
             await self._server.wait_closed()
@@ -108,14 +108,14 @@
         given = request.headers.get("Authorization", "")
         if not hmac.compare_digest(given.encode(), f"Bearer {self._key}".encode()):
             LOG.warning(
-                "link refused: no key",
+                "link refused: missing or wrong fleet key",
                 extra={"step": "accept link", "peer": str(socket.remote_address)},
             )
             return socket.respond(HTTPStatus.UNAUTHORIZED, "a fleet key is needed\n")
         version = request.headers.get(PROTOCOL_HEADER, "")
         if version != str(PROTOCOL_VERSION):
             LOG.warning(
-                "link refused: other protocol version",
+                "link refused: unsupported protocol version",
                 extra={"step": "accept link", "peer": str(socket.remote_address)},
             )
             text = f"protocol {version!r} is not {PROTOCOL_VERSION}\n"
