--- a/src/ramppin/router/connection/vmlist.py
+++ b/src/ramppin/router/connection/vmlist.py
@@ -1,6 +1,7 @@
-"""The client of the platform's list of live and leaving VMs.
+"""Client of the platform's list of live and leaving VMs.
 
-``GET /vms`` answers the list. It lags, and two VMs may see different ones.
+``GET /vms`` returns the list. It is eventually consistent: it lags behind the
+state of the VMs, and two VMs may receive different lists.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 
 
 class VmState(StrEnum):
-    """What the platform says of a VM."""
+    """State of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class VmRole(StrEnum):
-    """What a VM is for."""
+    """Role of a VM."""
 
     ROUTER = "router"
     BACKEND_SERVER = "backend-server"
@@ -32,7 +33,7 @@
     """One VM of the list.
 
     Attributes:
-        name: its name.
+        name: name of the VM.
         role: router or backend server.
         state: live or leaving.
         address: ``IP:port`` for links between routers; unused for others.
@@ -50,12 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class VmList:
-    """The list as it was last seen.
+    """The list of VMs as of one read.
 
     Attributes:
         routers: live and leaving routers by name.
         leaving: names of all VMs that are leaving.
-        backend_servers: names of all backend servers' VMs that are listed.
+        backend_servers: names of the VMs of all listed backend servers.
     """
 
     routers: dict[str, VmEntry]
@@ -64,12 +65,12 @@
 
     @property
     def live_routers(self) -> list[str]:
-        """Names of the routers that stay."""
+        """Names of the routers that are not leaving."""
         return [name for name in self.routers if name not in self.leaving]
 
 
 def build_vm_list(entries: list[VmEntry]) -> VmList:
-    """Sort the entries of the platform's list."""
+    """Group the entries of the platform's list by role and state."""
     return VmList(
         routers={e.name: e for e in entries if e.role is VmRole.ROUTER},
         leaving=frozenset(e.name for e in entries if e.state is VmState.LEAVING),
@@ -80,13 +81,13 @@
 
 
 class VmListClient:
-    """Reads the platform's list.
+    """Reads the platform's list of VMs.
 
     Args:
-        base_url: where the service is.
+        base_url: URL of the service.
         session: the HTTP client session to use.
-        vm: name by which the service knows this VM.
-        timeout_s: for one read.
+        vm: name of this VM, sent with each request.
+        timeout_s: time limit for one read, in seconds.
 
     .. versionadded:: 0.1
     """
@@ -106,7 +107,7 @@
         self._etag = ""
 
     async def read(self) -> VmList | None:
-        """Return the list; None if it is as it was at the last read.
+        """Return the list, or None if it has not changed since the last read.
 
         Raises:
             RamppinError: the service could not be read.
