--- a/src/ramppin/router/connection/__init__.py
+++ b/src/ramppin/router/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a connection: log, VM list, backend servers, peer links."""
+"""Network clients and servers: log, VM list, backend servers, peer links."""
--- a/src/ramppin/router/version/__init__.py
+++ b/src/ramppin/router/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a version of the settings: schema, inheritance, acceptance."""
+"""Versions of the settings: schema, inheritance, acceptance of changes."""
