--- a/src/ramppin/router/version/acceptance.py
+++ b/src/ramppin/router/version/acceptance.py
@@ -1,8 +1,8 @@
-"""Acceptance of changes: a pure function of the log's records.
+"""Acceptance of settings changes: a pure function of the log's records.
 
 Every router reads the same records in the same order, so all accept the same
-changes, whichever operators raced. A change names the version it was made
-from and is accepted only if that version is still the newest.
+changes, also when operators publish concurrently. A change names its base
+version and is accepted only if that version is still the newest.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from ramppin.router.version.tree import Settings
 
 NO_VERSION = -1
-"""The version before any change was accepted."""
+"""The version while no change has been accepted."""
 
 
 class _Record(BaseModel):
@@ -27,7 +27,7 @@
 
 
 class ChangeRecord(_Record):
-    """A whole tree, made from version ``base``."""
+    """A complete settings tree that replaces version ``base``."""
 
     kind: Literal["change"] = "change"
     base: int
@@ -37,7 +37,7 @@
 
 
 class PatchRecord(_Record):
-    """A JSON merge patch (RFC 7396) of version ``base``."""
+    """A JSON merge patch (RFC 7396) to apply to version ``base``."""
 
     kind: Literal["patch"] = "patch"
     base: int
@@ -47,7 +47,7 @@
 
 
 class SnapshotRecord(_Record):
-    """The tree of version ``version``, repeated before retention drops it."""
+    """A copy of version ``version``, written before retention removes the original."""
 
     kind: Literal["snapshot"] = "snapshot"
     version: int
@@ -62,15 +62,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of one record.
+    """The result of applying one record.
 
     Attributes:
         offset: the record's offset in the log.
-        accepted: whether it took effect.
+        accepted: whether the record took effect.
         kind: the record's kind, or ``"invalid"``.
-        author: who made it.
-        nonce: the change's own mark, by which its maker finds it.
-        error: why it was refused, or None.
+        author: author of the change.
+        nonce: unique ID of the change, by which its publisher finds the result.
+        error: why the record was rejected, or None.
     """
 
     offset: int
@@ -85,7 +85,7 @@
     """The accepted settings, built from the log's records in order.
 
     Args:
-        keep: how many verdicts to keep for operators.
+        keep: number of newest verdicts to keep for operators.
 
     .. versionadded:: 0.1
     """
@@ -104,7 +104,7 @@
         return self.settings.version if self.settings else NO_VERSION
 
     def apply(self, offset: int, value: object) -> Verdict | None:
-        """Apply the record at an offset; one seen before returns None."""
+        """Apply the record at an offset; return None if it was applied before."""
         if offset < self.next_offset:
             return None
         self.next_offset = offset + 1
@@ -114,7 +114,7 @@
         return verdict
 
     def find_nonce(self, nonce: str) -> Verdict | None:
-        """Return what became of the change with a nonce, or None."""
+        """Return the verdict on the change with a nonce, or None."""
         return next((v for v in self.verdicts if v.nonce == nonce), None)
 
     def _apply_record(self, offset: int, value: object) -> Verdict:
