--- a/src/ramppin/router/version/schema.py
+++ b/src/ramppin/router/version/schema.py
@@ -1,6 +1,6 @@
 """The schema of the settings tree that operators publish.
 
-Units: every ``*_s`` is in seconds. Unknown keys are refused.
+Every ``*_s`` is in seconds. Unknown keys are rejected.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class ServiceKind(StrEnum):
-    """How requests of a service look."""
+    """The kind of a service: model engines, or plain HTTP."""
 
     MODEL = "model"
     PLAIN = "plain"
@@ -29,19 +29,19 @@
     """Rules of a pool of backend servers; an unset one is inherited.
 
     Attributes:
-        bound: no backend server holds more than this multiple of the mean
-            load of its pool, rounded up.
-        floor: a backend server that holds no more than this is never over
-            the bound; more than 1 eases the bound at small means.
-        slots: requests that one backend server takes at a time.
+        bound: maximum load of a backend server, as a multiple of the mean load
+            of its pool, rounded up.
+        floor: load up to which a backend server is never over the bound; a
+            value above 1 relaxes the bound at a small mean load.
+        slots: maximum number of concurrent requests on one backend server.
         reserve: share of the slots kept for customers under their fair share.
-        orphan_hold_s: how long the places of a lost VM count at most.
-        suspend_s: first pause of a failing backend server; doubles each time.
-        suspend_after: failures in a row before a backend server is suspended.
-        max_waiting: requests that may wait for the pool at a time.
-        retry_ratio: retries allowed for each request, as a share.
-        spill: where a chat goes whose first choice is full: to the next in
-            its ranking, or to the less loaded of its next two.
+        orphan_hold_s: maximum time for which the places of a lost VM count.
+        suspend_s: first suspension of a failing backend server; doubles each time.
+        suspend_after: consecutive failures that suspend a backend server.
+        max_waiting: maximum number of requests that wait for the pool.
+        retry_ratio: maximum ratio of retries to requests.
+        spill: where a chat goes if its first choice is full: to the next in its
+            ranking, or to the less loaded of the next two.
     """
 
     bound: Annotated[float, Field(ge=1.05, le=100)] | None = None
@@ -60,16 +60,16 @@
     """Rules of a request; an unset one is inherited.
 
     Attributes:
-        deadline_s: the request is given up after this time.
-        max_wait_s: longest wait for a place.
-        wait_for_cached_s: longest wait for the backend server that has the
-            chat's prefix before the chat goes elsewhere.
-        weight: share of the pool in a contest, relative to other customers.
-        priority: handed on to engines; higher goes first.
-        max_in_flight: requests of a customer in a pool at a time, fleet-wide.
+        deadline_s: time after which the request is aborted.
+        max_wait_s: maximum wait for a place.
+        wait_for_cached_s: maximum wait for the backend server that has the
+            chat's prefix cached, before another one is chosen.
+        weight: fair share of the pool under contention, relative to other customers.
+        priority: passed to engines; a higher value goes first.
+        max_in_flight: concurrent requests of a customer in a pool, fleet-wide.
         repeatable: whether a request may run more than once.
         retries: further attempts where nothing may have run.
-        failure_domains: only backend servers in these; empty for any.
+        failure_domains: restricts the backend servers to these; empty for all.
     """
 
     deadline_s: Seconds | None = None
@@ -87,9 +87,9 @@
     """The root of the tree: rules for everything below.
 
     Attributes:
-        claim_window_s: how old an idempotency key may be; older is refused.
+        claim_window_s: maximum age of an idempotency key; older ones are refused.
         absent_s: how long a backend server may be missing from the platform's
-            list, which flaps, before it gets no new work.
+            list, where VMs can be missing briefly, and still get new requests.
     """
 
     claim_window_s: Seconds | None = None
@@ -101,8 +101,8 @@
 
     Attributes:
         address: ``IP:port``.
-        failure_domain: where it stands.
-        vm: its name in the platform's list of VMs; its own name if unset.
+        failure_domain: the failure domain that it is in.
+        vm: its name in the platform's list of VMs; the entry's name if unset.
     """
 
     address: Annotated[str, Field(pattern=r"^\[?[0-9a-fA-F.:]+\]?:\d{1,5}$")]
@@ -114,10 +114,10 @@
     """A pool of backend servers that serve the same requests.
 
     Attributes:
-        backend_servers: its members by name.
+        backend_servers: the backend servers of the pool, by name.
         reports_load: whether they report load and cache events.
-        honours_keys: accepted, without effect: claims are made in any case. Trees
-            that say it stay valid.
+        honours_keys: has no effect, because claims are always made; still
+            accepted so that trees that set it stay valid.
         rules: overrides of the fleet's rules.
     """
 
@@ -128,11 +128,11 @@
 
 
 class RouteNode(_Node):
-    """Rules for some calls of a plain service.
+    """Rules for some requests to a plain service.
 
     Attributes:
-        methods: HTTP methods it is for; empty for all.
-        path: a prefix of the path below the service.
+        methods: HTTP methods that match; empty for all.
+        path: prefix of the path below the service.
         rules: overrides of the service's rules.
     """
 
@@ -147,8 +147,8 @@
     Attributes:
         kind: model engines or a plain HTTP service.
         pool: the pool that serves it.
-        models: names under which callers ask for it (``kind`` ``model``).
-        routes: rules for some calls; the first that matches counts.
+        models: model names that select this service (``kind`` ``model``).
+        routes: rules for some requests; the first match applies.
         rules: overrides of the fleet's rules.
     """
 
@@ -170,7 +170,7 @@
 
     Attributes:
         key_hashes: SHA-256 in hex of each API key of the customer.
-        services: overrides by service; any service not listed stays allowed.
+        services: overrides by service; services not listed are allowed too.
         rules: overrides of the services' rules.
     """
 
@@ -184,9 +184,9 @@
 
     Attributes:
         name: shown in explanations.
-        services: which services; empty for all.
-        customers: which customers; empty for all.
-        rules: overrides of everything above.
+        services: services that it applies to; empty for all.
+        customers: customers that it applies to; empty for all.
+        rules: overrides of all levels above.
     """
 
     name: Name
@@ -196,14 +196,14 @@
 
 
 class SettingsTree(_Node):
-    """The whole tree, as published on the log.
+    """The complete settings tree, as published on the log.
 
     Attributes:
         fleet: rules at the root.
-        pools: backend servers.
-        services: what callers use.
-        customers: who calls.
-        placement_rules: the last rules to apply, in order.
+        pools: pools of backend servers, by name.
+        services: services that callers use, by name.
+        customers: customers by name.
+        placement_rules: lowest levels of the tree; a later rule overrides.
     """
 
     fleet: FleetRules = FleetRules()
@@ -214,7 +214,7 @@
 
     @model_validator(mode="after")
     def check_references(self) -> SettingsTree:
-        """Refuse names that point nowhere and names that are taken twice."""
+        """Reject references to unknown names, and duplicate models and API keys."""
         _check_services(self)
         _check_customers(self)
         for rule in self.placement_rules:
