--- a/src/ramppin/router/process/routing/allocator.py
+++ b/src/ramppin/router/process/routing/allocator.py
@@ -1,8 +1,8 @@
-"""The allocator of a pool: grants places so that the bound always holds.
+"""The allocator of a pool: grants places within the load bound.
 
-A plain synchronous state machine. Messages and clock readings go in, typed
-decisions come out; it does no I/O and reads no clock. One allocator at a time
-counts for a pool (see :mod:`ramppin.router.process.membership.leases`).
+A synchronous state machine. Its inputs are messages and clock readings, its
+outputs typed decisions; it does no I/O and reads no clock. Each pool has one
+active allocator at a time (see :mod:`ramppin.router.process.membership.leases`).
 
 Example::
 
@@ -41,10 +41,10 @@
 from ramppin.router.version.tree import PoolPolicy
 
 MIN_RETRY_AFTER_S = 1.0
-"""Seconds of the shortest time to come back that a refusal names."""
+"""Lower limit of the retry time that a refusal returns, in seconds."""
 
 MAX_RETRY_AFTER_S = 60.0
-"""Seconds of the longest time to come back that a refusal names."""
+"""Upper limit of the retry time that a refusal returns, in seconds."""
 
 
 class Allocator:
@@ -53,8 +53,9 @@
     Args:
         policy: the rules in force for the pool.
         ranking: order of preference of a chat over backend servers.
-        homes: where chats are that left their first choice.
-        on_change: told of each suspension and return of a backend server.
+        homes: backend servers of the chats that are not on their first choice.
+        on_change: called with the name of a backend server and whether it
+            serves, at each start and end of a suspension.
 
     .. versionadded:: 0.1
     """
@@ -80,32 +81,31 @@
         self._transit_timer = float("-inf")
         self._granting = True
 
-    # -- what the shell tells it ------------------------------------------
+    # -- inputs -----------------------------------------------------------
 
     def set_policy(self, policy: PoolPolicy, now: float) -> list[Decision]:
-        """Take over the rules of a new version of the settings."""
+        """Apply the policy of a new version of the settings."""
         self.load.policy = policy
         return self._serve_waiting(now)
 
     def set_members(self, members: Sequence[Member], now: float) -> list[Decision]:
-        """Take over which backend servers there are and which are leaving."""
+        """Apply the current list of backend servers and which are leaving."""
         self.load.set_members(members)
         return self._serve_waiting(now)
 
     def stop_granting(self) -> None:
-        """Grant nothing until :meth:`start_granting`: the counts aren't known yet."""
+        """Stop granting until :meth:`start_granting`; counts may be incomplete."""
         self._granting = False
 
     def start_granting(self, now: float) -> list[Decision]:
-        """Start to grant: all counts that can be known are known."""
+        """Start granting, as all counts that can be obtained are complete."""
         self._granting = True
         return self._serve_waiting(now)
 
     def ask(self, request: PlaceRequest, now: float) -> list[Decision]:
-        """Ask for a place; the decisions may be about other requests too.
+        """Request a place; the decisions may concern other requests too.
 
-        A request that is repeated while it waits or holds a place has no
-        effect.
+        Repeating a request that waits or holds a place has no effect.
         """
         if request.place in self.load.held or self.queue.find(request.place):
             return []
@@ -131,11 +131,12 @@
         """Free a place or leave the queue.
 
         Args:
-            place: the place; an unknown one has no effect.
+            place: the place; an unknown place has no effect.
             now: reading of the monotonic clock, in seconds.
             failed: whether the backend server failed to answer.
-            running: whether the request may still run there; then the place
-                counts until a load report or the time shows that it ended.
+            running: whether the request may still run there; the place then
+                counts until a load report shows that the request ended or
+                ``orphan_hold_s`` passes.
         """
         waiter = self.queue.remove(place)
         if waiter:
@@ -153,7 +154,7 @@
         return self._serve_waiting(now)
 
     def restore(self, place: PlaceId, server: str, customer: str) -> None:
-        """Count a place that a VM says it holds."""
+        """Count a place that a VM reports as held."""
         held = self.load.held.get(place)
         if held:
             self.load.unmark_orphaned(place)
@@ -168,7 +169,10 @@
                 )
 
     def handle_vm_loss(self, vm: str, now: float) -> list[Decision]:
-        """A VM is lost: its requests may still run, its waiters are gone."""
+        """Orphan the places of a lost VM and remove its waiters.
+
+        Its requests may still run on the backend servers.
+        """
         for waiter in self.queue.list_by_vm(vm):
             self.queue.remove(waiter.request.place)
             self._customers.add(waiter.request.customer, waiting=-1)
@@ -180,15 +184,15 @@
     def observe_load(
         self, server: str, running: int, as_of: float, now: float
     ) -> list[Decision]:
-        """Take in a load report of a backend server.
+        """Apply a load report of a backend server.
 
-        A report lowers the count of what nobody answers for any more. Only
-        while the allocator is not settled may it raise the count.
+        A report lowers the counts of orphaned places and unexplained requests.
+        It may raise the latter only while the allocator does not grant.
 
         Args:
-            server: who reports.
-            running: requests it held.
-            as_of: when it held them, on the monotonic clock.
+            server: the backend server that reports.
+            running: number of requests on it.
+            as_of: time at which this number held, on the monotonic clock.
             now: reading of the monotonic clock, in seconds.
         """
         known = self.load.servers.get(server)
@@ -203,14 +207,14 @@
         return self._serve_waiting(now)
 
     def note_missing_report(self, server: str, now: float) -> list[Decision]:
-        """Take in that a backend server gave no report; it may be failing."""
+        """Count a missing load report as a failure of the backend server."""
         known = self.load.servers.get(server)
         if known:
             self._note_result(known, now, failed=True)
         return self._serve_waiting(now)
 
     def observe_cache(self, server: str, chat: int, *, present: bool) -> None:
-        """Take a cache event as a hint of where a chat's prefix is."""
+        """Update the home of a chat from a cache event, which is only a hint."""
         if present and self.homes.find(chat) is None:
             names = list(self.load.servers)
             if names and self._ranking.rank(chat, names)[0] != server:
@@ -219,7 +223,7 @@
             self.homes.forget(chat)
 
     def tick(self, now: float) -> list[Decision]:
-        """Do what has come due; call at :meth:`next_wake`."""
+        """Process expired timers; call at the time from :meth:`next_wake`."""
         while self._timers and self._timers[0] <= now:
             heapq.heappop(self._timers)
         self._end_suspensions(now)
@@ -231,7 +235,7 @@
         return decisions
 
     def next_wake(self) -> float | None:
-        """Return when :meth:`tick` has something to do, or None."""
+        """Return the time of the next timer for :meth:`tick`, or None."""
         return self._timers[0] if self._timers else None
 
     # -- placing ----------------------------------------------------------
@@ -352,10 +356,10 @@
     def _reconcile_orphans(
         self, server: ServerLoad, running: int, as_of: float
     ) -> None:
-        """Drop what a report shows to have ended.
+        """Free what a load report shows to have ended.
 
-        Of the requests that ran at the report's time, some are those of places
-        that are held since before; only the rest may be unaccounted for.
+        Places held since before the report account for a part of its running
+        requests; only the rest can be orphaned or unexplained.
         """
         orphans = self.load.list_orphans(server)
         if not orphans and not server.unexplained:
@@ -387,7 +391,7 @@
             self._on_change(server, serving)
 
     def _set_transit_timer(self, now: float) -> None:
-        """Look again when what is in transit now has arrived; one timer at a time."""
+        """Set a timer for the end of the current transit, at most one at a time."""
         if now >= self._transit_timer:
             self._transit_timer = now + START_TRANSIT_S
             self._set_timer(self._transit_timer)
--- a/src/ramppin/router/process/routing/choice.py
+++ b/src/ramppin/router/process/routing/choice.py
@@ -1,4 +1,4 @@
-"""Which backend server a request goes to, among those with room."""
+"""Chooses a backend server with room for a request."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """A backend server with room, and why it was chosen."""
+    """A backend server with room, and the reason for the choice."""
 
     server: ServerLoad
     reason: Reason
 
 
 class Chooser:
-    """Returns chats to where their prefix is, and spills them when it is full.
+    """Routes chats to the server that caches their prefix; spills if it is full.
 
     Args:
         load: the counts of the pool.
-        homes: where chats are that left their first choice.
+        homes: backend servers of the chats that are not on their first choice.
         ranking: order of preference of a chat over backend servers.
 
     .. versionadded:: 0.1
@@ -38,9 +38,9 @@
         """Return a backend server with room, or None to wait.
 
         Args:
-            request: what is asked for.
-            may_spill: whether a returning chat may leave its own backend
-                server because it is full.
+            request: the request to place.
+            may_spill: whether a returning chat may be placed on another
+                backend server while its own is full.
         """
         if request.chat == 0:
             return self._choose_least_loaded(request)
@@ -52,7 +52,7 @@
         if not ranked:
             return None
         if not home and request.returning and self._load.has_room(ranked[0], cap):
-            # A home that is out of service now has lost the chat to this one.
+            # The recorded home is not eligible, so the first choice replaces it.
             self._homes.forget(request.chat)
             return Choice(ranked[0], Reason.FIRST_CHOICE)
         if (home or request.returning) and not may_spill:
@@ -109,7 +109,7 @@
         return [self._load.servers[n] for n in self._ranking.rank(request.chat, names)]
 
     def list_eligible(self, request: PlaceRequest) -> list[ServerLoad]:
-        """Return the backend servers in service that a request may go to."""
+        """Return the serving backend servers that are eligible for a request."""
         if not request.exclude and not request.failure_domains:
             return self._load.serving
         return [s for s in self._load.serving if self._is_eligible(s, request)]
--- a/src/ramppin/router/process/routing/customers.py
+++ b/src/ramppin/router/process/routing/customers.py
@@ -1,7 +1,7 @@
-"""What customers have in flight and waiting at one pool.
+"""Requests of each customer in flight and waiting at one pool.
 
-Owns the counts of the customers that have anything there, and their weights together.
-Relies on the allocator, which tells each change. No I/O.
+Holds counts only for customers that have requests there, and the sum of their
+weights. The allocator must report each change. No I/O.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     """Counts of customers that have requests at a pool.
 
     Attributes:
-        active_weight: weights of all of them together.
+        active_weight: sum of their weights.
 
     .. versionadded:: 0.2
     """
@@ -30,7 +30,7 @@
         self._customers: dict[str, _Customer] = {}
 
     def get_in_flight(self, name: str) -> int:
-        """Return how many places a customer holds."""
+        """Return the number of places that a customer holds."""
         customer = self._customers.get(name)
         return customer.in_flight if customer else 0
 
@@ -42,13 +42,13 @@
         waiting: int = 0,
         weight: float | None = None,
     ) -> None:
-        """Change a customer's counts; forget it once it has nothing left.
+        """Change a customer's counts; remove the customer when both are zero.
 
         Args:
-            name: the customer's.
-            in_flight: places more, or less.
-            waiting: requests in the queue more, or less.
-            weight: its weight from now on; None to leave it.
+            name: name of the customer.
+            in_flight: change of the number of held places.
+            waiting: change of the number of waiting requests.
+            weight: the new weight; None to keep the current one.
         """
         customer = self._customers.get(name)
         if customer is None:
--- a/src/ramppin/router/process/routing/freerate.py
+++ b/src/ramppin/router/process/routing/freerate.py
@@ -1,19 +1,19 @@
-"""How fast the places of a pool come free, which says how long a wait is. No I/O."""
+"""Rate at which a pool's places are freed, to estimate waiting times. No I/O."""
 
 from __future__ import annotations
 
 RATE_MEMORY_S = 10.0
-"""Over how long the rate of places that come free is averaged."""
+"""Time over which the rate of freed places is averaged."""
 
 MIN_FREES = 50
-"""Places that must have come free before their rate says how long a wait is."""
+"""Freed places before the rate is used to estimate waiting times."""
 
 
 class FreeRate:
-    """The rate at which places come free.
+    """The rate at which places are freed.
 
     Attributes:
-        per_s: places a second.
+        per_s: freed places per second.
 
     .. versionadded:: 0.2
     """
@@ -25,11 +25,11 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether enough places have come free."""
+        """Whether enough places have been freed for an estimate."""
         return self._frees >= MIN_FREES
 
     def note_freed(self, now: float) -> None:
-        """Note that a place came free.
+        """Record that a place was freed.
 
         Args:
             now: reading of the allocator's clock, in seconds.
--- a/src/ramppin/router/process/routing/homes.py
+++ b/src/ramppin/router/process/routing/homes.py
@@ -1,4 +1,4 @@
-"""Where chats have their prefix, for those that left their first choice."""
+"""Backend servers that cache the prefixes of chats off their first choice."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 class Homes:
     """A bounded map from chats to backend servers.
 
-    Two generations take the place of an exact least-recently-used order: when
-    the young one is full it becomes the old one, and the old one is dropped.
-    A chat that is looked up moves to the young one.
+    Two generations approximate least-recently-used eviction: when the recent
+    one is full it replaces the previous one, whose entries are dropped. A
+    lookup moves a chat to the recent generation.
 
     Args:
-        keep: how many chats a generation holds.
+        keep: number of chats in a full generation.
 
     .. versionadded:: 0.1
     """
@@ -25,7 +25,7 @@
         return len(self._recent) + len(self._previous)
 
     def find(self, chat: int) -> str | None:
-        """Return the backend server that a chat moved to, or None."""
+        """Return the recorded backend server of a chat, or None."""
         server = self._recent.get(chat)
         if server is None and chat in self._previous:
             server = self._previous.pop(chat)
@@ -33,13 +33,13 @@
         return server
 
     def put(self, chat: int, server: str) -> None:
-        """Remember where a chat is now."""
+        """Record the backend server of a chat."""
         self._recent[chat] = server
         if len(self._recent) >= self._keep:
             self._previous = self._recent
             self._recent = {}
 
     def forget(self, chat: int) -> None:
-        """Forget a chat."""
+        """Remove the entry of a chat."""
         self._recent.pop(chat, None)
         self._previous.pop(chat, None)
--- a/src/ramppin/router/process/routing/queue.py
+++ b/src/ramppin/router/process/routing/queue.py
@@ -1,4 +1,4 @@
-"""Weighted fair waiting of customers for places, in bounded queues."""
+"""Weighted fair queueing of the requests that wait for places."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
     """A request that waits for a place.
 
     Attributes:
-        request: what is asked for.
-        asked_at: when it was asked.
-        spill_at: until then it waits for its own backend server only.
-        wait_deadline: then it is refused.
-        order: its place among the customer's waiting requests.
+        request: the waiting request.
+        asked_at: time at which the place was requested.
+        spill_at: time from which it may go to another backend server than its
+            own.
+        wait_deadline: time at which the request is refused.
+        order: sort key among the customer's waiting requests.
     """
 
     request: PlaceRequest
@@ -40,9 +41,9 @@
     """Waiting requests, served by start-time fair queueing.
 
     Goyal, Vin and Cheng, "Start-time fair queueing", SIGCOMM 1996: each
-    customer has a start tag that moves on by ``1 / weight`` for each request
-    served; the customer with the lowest tag is next. Within a customer the
-    higher priority goes first, then the older request.
+    customer has a start tag that advances by ``1 / weight`` for each request
+    served; the customer with the lowest tag is next. Within a customer, higher
+    priority is served first, then older requests.
 
     .. versionadded:: 0.1
     """
@@ -70,7 +71,7 @@
         self._waiters[request.place] = waiter
 
     def remove(self, place: PlaceId) -> Waiter | None:
-        """Remove a waiter that is not served; an unknown one returns None."""
+        """Remove and return a waiter without serving it; None if unknown."""
         waiter = self._waiters.pop(place, None)
         if waiter is None:
             return None
@@ -81,7 +82,7 @@
         return waiter
 
     def serve(self, waiter: Waiter) -> None:
-        """Remove a waiter that got a place and move its customer's tag on."""
+        """Remove a waiter that got a place and advance its customer's tag."""
         queue = self._queues[waiter.request.customer]
         self._clock = max(self._clock, queue.start)
         queue.start += 1.0 / queue.weight
@@ -92,9 +93,9 @@
         return self._waiters.get(place)
 
     def list_in_order(self) -> Iterator[Waiter]:
-        """Yield the waiters in the order in which they should be served.
+        """Yield the waiters in serving order.
 
-        The order is that of one round; call again after a place was given.
+        The order holds until a waiter is served; call again after that.
         """
         for queue in sorted(self._queues.values(), key=lambda other: other.start):
             yield from list(queue.waiters)
@@ -104,14 +105,15 @@
         return [w for place, w in self._waiters.items() if place.vm == vm]
 
     def count(self, customer: str) -> int:
-        """Return how many requests of a customer wait."""
+        """Return the number of waiting requests of a customer."""
         queue = self._queues.get(customer)
         return len(queue.waiters) if queue else 0
 
     def find_newest_of_longest(self) -> Waiter:
-        """Return the newest waiter of the customer that waits most.
+        """Return the newest waiter of the customer with the longest queue.
 
-        Queue lengths are compared by weight. Raises ValueError when empty.
+        Lengths are divided by the customers' weights. Raises ValueError when
+        there are no waiters.
         """
         queue = max(
             self._queues.values(), key=lambda queue: len(queue.waiters) / queue.weight
@@ -119,7 +121,7 @@
         return queue.waiters[-1]
 
     def compute_share(self, customer: str, weight: float) -> float:
-        """Return a customer's share of the places that come free."""
+        """Return a customer's share of the freed places, from 0 to 1."""
         others = sum(
             queue.weight
             for queue in self._queues.values()
