--- a/src/ramppin/router/process/routing/load.py
+++ b/src/ramppin/router/process/routing/load.py
@@ -1,4 +1,4 @@
-"""Exact counts of the requests on each backend server of a pool."""
+"""Counts of the requests on each backend server of a pool."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from ramppin.router.version.tree import PoolPolicy
 
 START_TRANSIT_S = 0.1
-"""How long a granted place may count before its request is on a server."""
+"""Longest time from the grant of a place to its request's arrival at a server."""
 
 END_TRANSIT_S = 0.02
-"""How long a place may count after its request ended on the server.
+"""Time for which a place may count after its request ended on the server.
 
-The count is ahead of what the backend servers hold by what is in transit at
-either end. The cap is therefore taken from a total without what was granted
-just now, and without what is likely to have ended just now.
+The count exceeds the requests on the backend servers by those in transit at
+either end. The cap is therefore computed from a total without the places
+granted within the transit time and without those that have probably ended.
 """
 
 MAX_SUSPEND_S = 30.0
-"""Longest pause of a failing backend server."""
+"""Longest suspension of a failing backend server."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,8 +31,8 @@
 
     Attributes:
         name: its name in the settings.
-        failure_domain: where it stands.
-        leaving: whether it gets no new work.
+        failure_domain: its failure domain.
+        leaving: whether it gets no new requests.
     """
 
     name: str
@@ -42,19 +42,19 @@
 
 @dataclass(slots=True)
 class ServerLoad:
-    """What is known of one backend server.
+    """State of one backend server.
 
     Attributes:
         name: its name in the settings.
-        failure_domain: where it stands.
-        leaving: whether it gets no new work.
-        places: requests that hold a place on it, those of lost VMs included.
-        unexplained: requests that it reported and nobody holds a place for.
-        unexplained_at: when these were seen.
-        failures: attempts that failed since one succeeded.
-        suspensions: pauses since an attempt succeeded.
-        suspended_until: end of its pause; 0 while it serves.
-        ramp: most it may hold after a pause; None when there is no limit.
+        failure_domain: its failure domain.
+        leaving: whether it gets no new requests.
+        places: requests that hold a place on it, including those of lost VMs.
+        unexplained: reported requests for which no VM holds a place.
+        unexplained_at: time at which these were reported.
+        failures: failed attempts since the last success.
+        suspensions: suspensions since the last success.
+        suspended_until: end of its suspension; 0 while it is not suspended.
+        ramp: limit of its requests after a suspension; None for no limit.
     """
 
     name: str
@@ -70,24 +70,24 @@
 
     @property
     def count(self) -> int:
-        """Requests that it must be taken to hold."""
+        """Upper estimate of the requests on the backend server."""
         return self.places + self.unexplained
 
     @property
     def serving(self) -> bool:
-        """Whether it takes new work and counts in the pool's mean."""
+        """Whether it accepts new requests and counts in the pool's mean."""
         return not self.leaving and not self.suspended_until
 
 
 @dataclass(slots=True)
 class HeldPlace:
-    """A place that is taken.
+    """A place that is held.
 
     Attributes:
-        server: the backend server that it is on.
-        customer: who holds it.
-        granted_at: when it was granted; 0 for one that was restored.
-        orphaned_at: since when nobody answers for it; None while its VM does.
+        server: its backend server.
+        customer: the customer whose request holds it.
+        granted_at: time of the grant; 0 for a restored place.
+        orphaned_at: time from which no VM accounts for it; None while one does.
     """
 
     server: ServerLoad
@@ -99,26 +99,26 @@
 def compute_cap(
     bound: float, total: int, members: int, in_transit: int = 1, floor: int = 1
 ) -> int:
-    """Return the most requests a backend server may hold after a placement.
+    """Return the limit of requests on a backend server after a placement.
 
     The bound is ``ceil(bound * mean)`` with the request to be placed counted
-    in the mean, and at least ``floor``. Rounding up keeps a place free somewhere for
-    every request; leaving out what may be in transit keeps the promise true
-    as counted on the backend servers.
+    in the mean, and at least ``floor``. Rounding up keeps a place free for every
+    request; subtracting the requests in transit keeps the bound valid for the
+    counts on the backend servers too.
 
     Args:
-        bound: set multiple of the mean, above 1.
+        bound: configured multiple of the mean, above 1.
         total: requests in the pool before the placement.
         members: backend servers over which the mean is taken.
-        in_transit: requests that count and may not be on a backend server.
-        floor: least cap, at least 1.
+        in_transit: counted requests that may not be on a backend server.
+        floor: lower limit of the cap, at least 1.
     """
     counted = total + 1 - in_transit
     return max(floor, math.ceil(bound * counted / members)) if members else 0
 
 
 class PoolLoad:
-    """The counts of a pool's backend servers and who holds them.
+    """The counts of a pool's backend servers and the places held on them.
 
     Args:
         policy: the rules in force for the pool.
@@ -131,10 +131,10 @@
         self.servers: dict[str, ServerLoad] = {}
         self.serving: list[ServerLoad] = []
         self.held: dict[PlaceId, HeldPlace] = {}
-        # What may run: never less than what the backend servers hold.
+        # Requests that may run: never fewer than those on the backend servers.
         self.total = 0
         self.members = 0
-        # The part of the total that may have ended: it must not raise the mean.
+        # The part of the total that may have ended; it must not raise the mean.
         self.doubtful = 0
         self.in_transit = 1
         self._granted: deque[float] = deque()
@@ -143,7 +143,7 @@
 
     @property
     def cap(self) -> int:
-        """The most that any backend server may hold after a placement now."""
+        """Current limit of requests on a backend server after a placement."""
         return compute_cap(
             self.policy.bound,
             self.total - self.doubtful,
@@ -154,14 +154,14 @@
 
     @property
     def capacity(self) -> int:
-        """Requests that the pool can hold."""
+        """Requests that the serving backend servers can hold."""
         return self.members * self.policy.slots
 
     def set_members(self, members: Iterable[Member]) -> None:
-        """Take over which backend servers there are and which are leaving."""
+        """Apply the current list of backend servers and which are leaving."""
         wanted = {member.name: member for member in members}
         for name, server in list(self.servers.items()):
-            # One that still holds requests is counted until they end.
+            # A removed server is counted until its requests end.
             server.leaving = True
             if name not in wanted and not server.count:
                 del self.servers[name]
@@ -172,15 +172,15 @@
         self._recompute_totals()
 
     def note_granted(self, now: float) -> None:
-        """Note that a place was granted: its request is in transit."""
+        """Record that a place was granted: its request is in transit."""
         self._granted.append(now)
 
     def estimate_transit(self, now: float, free_rate: float) -> None:
-        """Estimate how many places count without a request on a server.
+        """Estimate the number of places whose request is not on a server.
 
         Args:
             now: reading of the monotonic clock, in seconds.
-            free_rate: places that come free a second.
+            free_rate: freed places per second.
         """
         while self._granted and self._granted[0] <= now - START_TRANSIT_S:
             self._granted.popleft()
@@ -188,7 +188,7 @@
         self.in_transit = len(self._granted) + ended
 
     def has_room(self, server: ServerLoad, cap: int) -> bool:
-        """Return whether a backend server may take one more request."""
+        """Return whether a backend server can accept one more request."""
         limit = min(cap, self.policy.slots)
         if server.ramp is not None:
             limit = min(limit, server.ramp)
@@ -197,7 +197,7 @@
     def take(
         self, place: PlaceId, server: ServerLoad, customer: str, granted_at: float
     ) -> None:
-        """Count a place as taken."""
+        """Count a place as held."""
         self.held[place] = HeldPlace(server, customer, granted_at)
         self._by_vm.setdefault(place.vm, set()).add(place)
         server.places += 1
@@ -205,7 +205,7 @@
             self.total += 1
 
     def free(self, place: PlaceId) -> HeldPlace | None:
-        """Count a place as free; an unknown one returns None."""
+        """Free a place and return it; None for an unknown place."""
         held = self.held.pop(place, None)
         if held is None:
             return None
@@ -223,11 +223,11 @@
         return list(self._by_vm.get(vm, ()))
 
     def count_by_vm(self) -> dict[str, int]:
-        """Return how many places each VM holds."""
+        """Return the number of places that each VM holds."""
         return {vm: len(places) for vm, places in self._by_vm.items() if places}
 
     def mark_orphaned(self, place: PlaceId, now: float) -> None:
-        """Mark a place that nobody answers for; its request may still run."""
+        """Mark a place that no VM accounts for; its request may still run."""
         held = self.held.get(place)
         if held and held.orphaned_at is None:
             held.orphaned_at = now
@@ -235,7 +235,7 @@
             self.doubtful += held.server.serving
 
     def unmark_orphaned(self, place: PlaceId) -> None:
-        """Take back the mark of a place whose VM is there again."""
+        """Clear the mark of a place whose VM has reported it again."""
         held = self.held[place]
         if held.orphaned_at is not None:
             held.orphaned_at = None
@@ -243,7 +243,7 @@
             self.doubtful -= held.server.serving
 
     def list_orphans(self, server: ServerLoad | None = None) -> list[PlaceId]:
-        """Return the places nobody answers for, on one backend server or all."""
+        """Return the orphaned places on one backend server, or on all."""
         return [
             place
             for place, held in self._orphans.items()
@@ -251,7 +251,7 @@
         ]
 
     def count_running_since(self, server: ServerLoad, moment: float) -> int:
-        """Return the places whose requests surely ran at a moment, and run on."""
+        """Return the number of places whose requests have run since a moment."""
         latest = moment - START_TRANSIT_S
         return sum(
             held.server is server
@@ -261,7 +261,7 @@
         )
 
     def set_unexplained(self, server: ServerLoad, count: int, now: float) -> None:
-        """Set how many requests nobody holds a place for on a backend server."""
+        """Set the number of requests on a backend server without a held place."""
         if server.serving:
             self.total += count - server.unexplained
             self.doubtful += count - server.unexplained
@@ -269,7 +269,7 @@
         server.unexplained_at = now
 
     def note_success(self, server: ServerLoad) -> None:
-        """Note that an attempt succeeded; a ramp doubles until it is over."""
+        """Record a successful attempt; the ramp doubles until it reaches the slots."""
         server.failures = 0
         server.suspensions = 0
         if server.ramp is not None:
@@ -278,7 +278,7 @@
                 server.ramp = None
 
     def note_failure(self, server: ServerLoad, now: float) -> float | None:
-        """Note that an attempt failed; return the end of a pause it caused."""
+        """Record a failed attempt; return the end of a suspension that it caused."""
         server.failures += 1
         if server.suspended_until or server.failures < self.policy.suspend_after:
             return None
@@ -289,7 +289,7 @@
         return server.suspended_until
 
     def end_suspensions(self, now: float) -> None:
-        """Bring backend servers back whose pause is over, gently."""
+        """Return backend servers to service after their suspension, with a ramp."""
         for server in self.servers.values():
             if server.suspended_until and server.suspended_until <= now:
                 server.suspended_until = 0.0
--- a/src/ramppin/router/process/routing/placer.py
+++ b/src/ramppin/router/process/routing/placer.py
@@ -1,4 +1,4 @@
-"""Asks the owners of shards for places, and keeps what this VM holds."""
+"""Requests places from the owners of shards and tracks those of this VM."""
 
 from __future__ import annotations
 
@@ -34,31 +34,31 @@
 LOG = logging.getLogger(__name__)
 
 OWNER_RETRY_S = 0.05
-"""Pause before a shard's owner is asked again after it turned one away."""
+"""Longest wait for a change of owner before a place is requested again."""
 
 NO_OWNER_RETRY_AFTER_S = 2.0
-"""Seconds after which a caller may come back while a shard has no owner."""
+"""Retry time in a refusal when no place was granted before the deadline."""
 
 
 PAUSE_S = 0.5
-"""A gap between two beats of the loop that shows that the process was paused.
+"""Gap between two pause checks from which the process counts as paused.
 
-Shorter than any time after which another VM gives this one's places away.
+Shorter than any time after which another VM reassigns this one's places.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class Wanted:
-    """A place that a request wants.
+    """What a request requires of a place.
 
     Attributes:
-        shard: of which shard.
+        shard: the shard.
         chat: the chat's key; 0 for none.
-        service: the service asked for.
+        service: the requested service.
         route: index of the route, or -1.
-        customer: who asks.
-        returning: whether the chat was here before.
-        exclude: backend servers that the request has failed on.
+        customer: the customer that sent the request.
+        returning: whether the chat has been served before.
+        exclude: backend servers on which the request has failed.
     """
 
     shard: str
@@ -76,10 +76,10 @@
 
     Attributes:
         number: its number at this VM.
-        shard: of which shard.
+        shard: its shard.
         owner: the VM that granted it.
         grant: the grant.
-        pauses: how often the process had been paused when it was granted.
+        pauses: number of detected pauses of the process at the grant.
     """
 
     number: int
@@ -98,14 +98,14 @@
 
 
 class Placer:
-    """Gets places for requests, from whichever VM owns the shard.
+    """Gets places for requests from the VM that owns the shard.
 
     Args:
         vm: this VM.
-        table: who owns which shard.
+        table: the owners of the shards.
         host: the shards that this VM owns.
         links: links to other VMs.
-        resolve: builds the allocator's request from an ask, by the settings.
+        resolve: builds the allocator's request from an ``Ask`` and the settings.
         clock: monotonic clock.
 
     .. versionadded:: 0.1
@@ -142,11 +142,11 @@
         return self._held
 
     async def place(self, wanted: Wanted, deadline: float) -> Place | Refusal:
-        """Get a place, or the final refusal.
+        """Return a place, or the final refusal.
 
         Args:
-            wanted: what for.
-            deadline: reading of the monotonic clock at which it is given up.
+            wanted: what the request requires.
+            deadline: reading of the monotonic clock at which the wait ends.
         """
         while True:
             number = next(self._numbers)
@@ -173,7 +173,7 @@
     def free(
         self, place: Place, *, failed: bool = False, running: bool = False
     ) -> None:
-        """Give a place back.
+        """Free a place.
 
         Args:
             place: the place.
@@ -186,14 +186,14 @@
         self._send_free(place.shard, place.number, failed=failed, running=running)
 
     def detect_pause(self) -> None:
-        """Note that the loop runs; a long gap since the last time is a pause.
+        """Detect a pause of the process by the time since the last call.
 
-        While this VM was paused its places may have been given away. What it
-        asked for before is asked again.
+        During a pause the places of this VM may have been reassigned. Pending
+        requests for places are sent again.
         """
         now = self._clock()
         if now - self._checked_at > PAUSE_S:
-            LOG.warning("paused for %.1f s", now - self._checked_at)
+            LOG.warning("process was paused for %.1f s", now - self._checked_at)
             self._pauses += 1
             for number, pending in self._pending.items():
                 _resolve(pending, None)
@@ -201,12 +201,12 @@
         self._checked_at = now
 
     def is_valid(self, place: Place) -> bool:
-        """Return whether a request may still be sent with a place."""
+        """Return whether a request may still be sent under a place."""
         self.detect_pause()
         return place.pauses == self._pauses and place.number in self._held
 
     def handle_owner_change(self) -> None:
-        """Take in that some shard's owner or epoch changed."""
+        """Resolve requests pending at former owners after a change of leases."""
         for pending in self._pending.values():
             lease = self._table.find_owner(pending.shard)
             if lease is None or lease.epoch != pending.epoch:
@@ -215,7 +215,7 @@
         self._changed = asyncio.Event()
 
     async def sync_owners(self) -> None:
-        """Tell each shard's owner which places this VM holds, where need be."""
+        """Send the places that this VM holds to each owner not yet synced."""
         for shard, lease in list(self._table.leases.items()):
             if lease.released or (lease.vm, shard, lease.epoch) in self._synced:
                 continue
@@ -229,7 +229,7 @@
             self._sync(link, shard, lease.epoch)
 
     def receive(self, vm: str, message: Message) -> None:
-        """Handle an owner's answer that came over a link."""
+        """Handle an owner's answer that arrived over a link."""
         match message:
             case Granted():
                 self._receive_grant(vm, message)
@@ -247,14 +247,14 @@
                     _resolve(pending, None)
 
     def decide(self, decision: Decision, epoch: int | None) -> None:
-        """Take in a decision about a request of this VM."""
+        """Apply a decision about a request of this VM."""
         self.detect_pause()
         pending = self._pending.get(decision.place.number)
         if pending and (epoch is None or pending.epoch == epoch):
             _resolve(pending, decision)
 
     def handle_link_down(self, vm: str) -> None:
-        """Take in that the link to a VM ended."""
+        """Resolve requests pending at a VM after its link ended."""
         self._synced = {entry for entry in self._synced if entry[0] != vm}
         for pending in self._pending.values():
             if pending.owner == vm:
--- a/src/ramppin/router/process/routing/reports.py
+++ b/src/ramppin/router/process/routing/reports.py
@@ -15,14 +15,14 @@
 LOG = logging.getLogger(__name__)
 
 FAST_POLL_S = 0.25
-"""Time between two reads while places are held by nobody that answers."""
+"""Time between two reads while counts are incomplete or places orphaned."""
 
 
 class ReportReader:
-    """Only a shard's owner reads the reports of its backend servers.
+    """Reads the reports of the backend servers of the shards this VM owns.
 
     Args:
-        backends: reads them.
+        backends: client of the backend servers.
         host: the shards that this VM owns.
         get_settings: returns the settings in force.
         poll_s: time between two reads of one backend server.
@@ -88,7 +88,9 @@
             await self._read_events(shard, name, node)
         except RamppinError as error:
             self._host.note_missing_report(shard, name, self._clock())
-            LOG.debug("no report: %s", error, extra={"step": "report", "peer": name})
+            LOG.debug(
+                "report not read: %s", error, extra={"step": "report", "peer": name}
+            )
 
     async def _read_events(
         self, shard: str, name: str, node: BackendServerNode
--- a/src/ramppin/router/process/routing/shards.py
+++ b/src/ramppin/router/process/routing/shards.py
@@ -1,8 +1,8 @@
 """The shards that this VM owns, each with its allocator.
 
-Synchronous: messages and clock readings in, decisions out through a callback.
-An allocator grants only while this VM's lease is valid and once the places
-that were held before are counted.
+Synchronous: the inputs are messages and clock readings, and decisions go to a
+callback. An allocator grants only while this VM's lease is valid, and only
+after the places that were held before are counted.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from ramppin.router.version.tree import PoolPolicy
 
 SYNC_WAIT_S = 1.0
-"""How long a new owner waits for VMs to tell the places that they hold."""
+"""Longest time a new owner waits for VMs to send the places that they hold."""
 
 
 @dataclass(frozen=True, slots=True)
 class Shard:
-    """What the settings and the platform's list say of a shard.
+    """A shard as defined by the settings and the platform's list.
 
     Attributes:
         name: its name.
-        policy: the rules in force.
+        policy: the policy in force.
         members: its backend servers.
     """
 
@@ -38,16 +38,16 @@
 
 @dataclass(slots=True)
 class OwnedShard:
-    """A shard that the log gives to this VM.
+    """A shard that this VM owns according to the log.
 
     Attributes:
-        epoch: of the lease.
-        allocator: counts for it.
-        since: when this VM became its owner.
-        synced: VMs that told which places they hold.
+        epoch: epoch of the lease.
+        allocator: allocator of the shard.
+        since: time at which this VM became its owner.
+        synced: VMs that have sent the places that they hold.
         loads_seen: whether the backend servers were asked for their load.
         counted: whether all places that can be known are counted.
-        granting: whether the allocator grants at the moment.
+        granting: whether the allocator grants now.
     """
 
     epoch: int
@@ -65,8 +65,9 @@
     Args:
         vm: this VM.
         holder: its leases.
-        deliver: gets each decision, with the shard's epoch.
-        on_change: told of each suspension and return of a backend server.
+        deliver: called with each decision and the shard's epoch.
+        on_change: called with the name of a backend server and whether it
+            serves, at each start and end of a suspension.
 
     .. versionadded:: 0.1
     """
@@ -88,7 +89,7 @@
     def refresh(
         self, shards: Iterable[Shard], vms: Sequence[str], now: float
     ) -> list[str]:
-        """Take over who owns what and what the shards are made of.
+        """Apply the owned leases and the definitions of the shards.
 
         Args:
             shards: all shards of the settings in force.
@@ -96,7 +97,7 @@
             now: reading of the monotonic clock, in seconds.
 
         Returns:
-            The shards that this VM owns no longer.
+            The shards that this VM no longer owns.
         """
         wanted = {shard.name: shard for shard in shards}
         epochs = self._holder.list_owned()
@@ -114,7 +115,7 @@
         return lost
 
     def gate(self, vms: Sequence[str], now: float) -> None:
-        """Let allocators grant, or stop them, as leases and counts allow."""
+        """Start or stop granting in each allocator, by its lease and counts."""
         for name, owned in self.owned.items():
             if not owned.counted:
                 owned.counted = self._is_counted(name, owned, vms, now)
@@ -133,7 +134,7 @@
         places: Sequence[HeldPlaceInfo],
         now: float,
     ) -> bool:
-        """Take in all places that a VM holds; it has no other and waits for none.
+        """Apply the complete list of places that a VM holds; it waits for none.
 
         Returns whether this VM owns the shard in that epoch.
         """
@@ -157,7 +158,7 @@
         return True
 
     def ask(self, shard: str, request: PlaceRequest, now: float) -> bool:
-        """Ask for a place; False if this VM does not own the shard."""
+        """Request a place; False if this VM does not own the shard."""
         owned = self.owned.get(shard)
         if owned is None:
             return False
@@ -184,7 +185,7 @@
             self._emit(owned, decisions)
 
     def handle_vm_loss(self, vm: str, now: float) -> None:
-        """Take in that a VM is lost."""
+        """Apply the loss of a VM to all owned shards."""
         for shard, owned in self.owned.items():
             self._check_lease(shard, owned, now)
             owned.synced.discard(vm)
@@ -193,27 +194,27 @@
     def observe_load(
         self, shard: str, server: str, running: int, as_of: float, now: float
     ) -> None:
-        """Take in a load report of a backend server."""
+        """Apply a load report of a backend server."""
         owned = self.owned.get(shard)
         if owned:
             self._check_lease(shard, owned, now)
             self._emit(owned, owned.allocator.observe_load(server, running, as_of, now))
 
     def note_missing_report(self, shard: str, server: str, now: float) -> None:
-        """Take in that a backend server gave no report."""
+        """Record that a backend server gave no report."""
         owned = self.owned.get(shard)
         if owned:
             self._check_lease(shard, owned, now)
             self._emit(owned, owned.allocator.note_missing_report(server, now))
 
     def tick(self, now: float) -> None:
-        """Do what has come due."""
+        """Process expired timers of all allocators."""
         for shard, owned in self.owned.items():
             self._check_lease(shard, owned, now)
             self._emit(owned, owned.allocator.tick(now))
 
     def next_wake(self) -> float | None:
-        """Return when :meth:`tick` has something to do, or None."""
+        """Return the time of the next timer for :meth:`tick`, or None."""
         wakes = [owned.allocator.next_wake() for owned in self.owned.values()]
         return min((wake for wake in wakes if wake is not None), default=None)
 
