--- a/src/ramppin/router/process/claims/claiming.py
+++ b/src/ramppin/router/process/claims/claiming.py
@@ -1,4 +1,4 @@
-"""Claims of keys on the log, many to an append."""
+"""Appends claims of keys to the log in batches."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 STREAM = "claims"
 MAX_BATCH = 500
-"""Claims that one append to the log carries."""
+"""Maximum number of claims in one append to the log."""
 
 FIND_LOST_S = 1.5
-"""How long to look for a claim whose append's answer was lost."""
+"""Time to wait for a claim in the log after the append's answer was lost."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,15 +39,15 @@
 class Claimer:
     """Claims keys for requests that must run at most once.
 
-    Claims that come while an append is under way go into the next one.
+    Claims that arrive during an append go into the next one.
 
     Args:
         vm: this VM.
-        run: the run of its process.
+        run: number of the run of its process.
         client: the log's client.
-        table: all claims, from the log.
+        table: all claims in the log.
         held: the claims that this VM holds.
-        request_read: makes the stream's reader read at once.
+        request_read: makes the reader of the stream read at once.
         wall_clock: seconds since the epoch.
 
     .. versionadded:: 0.1
@@ -77,16 +77,16 @@
         self._waiting: dict[str, _Waiting] = {}
 
     async def claim(self, item: ClaimItem, timeout_s: float) -> Claim:
-        """Claim a key and return the claim that won it, whoever holds it.
+        """Claim a key and return the winning claim, which another VM may hold.
 
         Raises:
-            LogUnavailableError: the claim is not known to have won; nothing
-                may be run under it.
+            LogUnavailableError: the claim was not confirmed; the request must
+                not be run under it.
         """
         future: asyncio.Future[Claim] = asyncio.get_running_loop().create_future()
         waiting = _Waiting(item, future)
         if item.key in self._waiting:
-            # A second request with this key came while the first waits.
+            # An earlier request with this key is still waiting for its claim.
             return await self._await_claim(self._waiting[item.key], timeout_s)
         self._waiting[item.key] = waiting
         self._queue.put_nowait(waiting)
@@ -129,8 +129,8 @@
             await self._client.append(STREAM, record)
             self._request_read()
         except AppendUnknownError as error:
-            # It may be in the log: the tail shows it, or the wait runs out.
-            LOG.warning("claim's answer lost: %s", error, extra={"step": "claim"})
+            # The record may be in the log: the tail shows it, or the wait times out.
+            LOG.warning("answer to append lost: %s", error, extra={"step": "claim"})
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._await_all(batch), FIND_LOST_S)
         except LogUnavailableError as error:
--- a/src/ramppin/router/process/claims/claims.py
+++ b/src/ramppin/router/process/claims/claims.py
@@ -1,11 +1,11 @@
 """Claims: which VM may run a request that must run at most once.
 
 The log is the arbiter. The claim with the lowest offset for a key wins, and
-its holder alone may run the request. A key has an age, so that a claim can be
-forgotten: a key older than the window is refused.
+only its holder may run the request. Keys have an age, so that claims can be
+evicted: a key older than the window is refused.
 
-A plain synchronous state machine; wall-clock times are in seconds since the
-epoch, and clocks of VMs are trusted to :data:`CLOCK_SKEW_S`.
+A synchronous state machine; wall-clock times are in seconds since the epoch,
+and clocks are assumed to differ by at most :data:`CLOCK_SKEW_S`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from pydantic import BaseModel, ConfigDict, ValidationError
 
 CLOCK_SKEW_S = 5.0
-"""How far apart the wall clocks of two VMs or a caller may be."""
+"""Largest tolerated difference between wall clocks of VMs and callers."""
 
 
 class ClaimItem(BaseModel):
@@ -27,8 +27,8 @@
 
     Attributes:
         key: hash of customer, service and key.
-        digest: hash of the request; a key stands for one request only.
-        issued: when the key was made, in seconds since the epoch.
+        digest: hash of the request; a key identifies one request only.
+        issued: creation time of the key, in seconds since the epoch.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -42,10 +42,10 @@
     """Claims that one VM appended together.
 
     Attributes:
-        vm: the VM that wants to hold them.
-        run: the run of its process.
-        number: the append's own mark, by which its maker finds it.
-        at: when it was made, in seconds since the epoch.
+        vm: the VM that claims the keys.
+        run: number of the run of its process.
+        number: number of the append, unique in the run.
+        at: creation time of the record, in seconds since the epoch.
         items: the claims.
     """
 
@@ -65,10 +65,10 @@
     Attributes:
         key: hash of customer, service and key.
         digest: hash of the request.
-        issued: when the key was made.
+        issued: creation time of the key.
         vm: the holder.
-        run: the run of the holder's process.
-        offset: of its record.
+        run: number of the run of the holder's process.
+        offset: offset of its record in the log.
     """
 
     key: str
@@ -80,17 +80,17 @@
 
 
 def hash_claim_key(customer: str, service: str, key: str) -> str:
-    """Return the form in which the log holds a key."""
+    """Return the hash under which the log stores a key."""
     return xxhash.xxh3_128_hexdigest(f"{customer}\0{service}\0{key}".encode())
 
 
 def hash_request(method: str, path: str, body: bytes) -> str:
-    """Return the digest by which two requests with one key are compared."""
+    """Return the digest that is compared for requests with the same key."""
     return xxhash.xxh3_64_hexdigest(f"{method}\0{path}\0".encode() + body)
 
 
 def read_issue_time(key: str) -> float | None:
-    """Return when a UUID of version 7 was made, or None for any other key."""
+    """Return the creation time in a UUID of version 7, or None for other keys."""
     try:
         parsed = uuid.UUID(key)
     except ValueError:
@@ -101,10 +101,10 @@
 
 
 class ClaimTable:
-    """The claims of all keys that may still return.
+    """The claims of all keys that may be used again.
 
     Args:
-        window_s: how old a key may be.
+        window_s: maximum age of a key.
 
     .. versionadded:: 0.1
     """
@@ -120,7 +120,7 @@
         return len(self._claims)
 
     def note_trimmed(self, first_record: object) -> None:
-        """Note that older records are gone: claims before these are unknown."""
+        """Record that the log was trimmed: claims before this record are unknown."""
         try:
             record = ClaimRecord.model_validate(first_record)
         except ValidationError:
@@ -128,12 +128,12 @@
         self.known_from = max(self.known_from, record.at + CLOCK_SKEW_S)
 
     def apply(self, offset: int, value: object, now: float) -> list[Claim]:
-        """Apply a record, and return the claims that it won.
+        """Apply a record and return the claims in it that won.
 
         Args:
             offset: the record's offset in the log.
             value: the record.
-            now: wall-clock time, to forget claims past the window.
+            now: wall-clock time, to evict claims past the window.
         """
         self._evict_expired(now)
         try:
@@ -158,12 +158,12 @@
         return self._claims.get(key)
 
     def is_too_old(self, issued: float, now: float) -> bool:
-        """Return whether a key's claim might have been forgotten."""
+        """Return whether a key's claim might have been evicted or trimmed."""
         oldest = max(now - self.window_s + CLOCK_SKEW_S, self.known_from)
         return issued < oldest
 
     def is_from_future(self, issued: float, now: float) -> bool:
-        """Return whether a key claims to be made later than now."""
+        """Return whether a key's creation time is in the future."""
         return issued > now + CLOCK_SKEW_S
 
     def _evict_expired(self, now: float) -> None:
@@ -175,12 +175,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """The answer to a request that ran, kept for repeats.
+    """The answer to a request that ran, stored for repeated requests.
 
     Attributes:
         status: the HTTP status.
-        headers: the headers that a repeat gets too.
-        body: the whole body; None if it was too large to keep.
+        headers: the headers that are sent to a repeated request too.
+        body: the complete body; None if it is not kept.
     """
 
     status: int
@@ -189,11 +189,11 @@
 
 
 class ClaimState(StrEnum):
-    """How far the holder of a claim has come.
+    """State of a claim at its holder.
 
-    ``IDLE``: won, and no byte sent. ``TAKEN``: a request of this VM runs under
-    it. ``RAN``: answered. ``UNKNOWN``: sent, and the answer is lost.
-    ``GIVEN``: handed to a request of another VM.
+    ``IDLE``: won, no byte sent. ``TAKEN``: a request of this VM runs under it.
+    ``RAN``: answered. ``UNKNOWN``: sent, but the answer was lost. ``GIVEN``:
+    handed over to a request of another VM.
     """
 
     IDLE = "idle"
@@ -209,9 +209,9 @@
 
     Attributes:
         key: hash of customer, service and key.
-        state: how far it has come.
-        answer: the answer once it ran.
-        taker: the request that took it or that it was handed to.
+        state: its state.
+        answer: the stored answer, once the request ran.
+        taker: the request that took it or to which it was handed over.
     """
 
     key: str
@@ -221,16 +221,17 @@
 
     @property
     def running(self) -> bool:
-        """Whether a request of this VM is at it now."""
+        """Whether a request of this VM runs under it now."""
         return self.state is ClaimState.TAKEN
 
 
 @dataclass(slots=True)
 class HeldClaims:
-    """The claims that this VM holds, and the answers that it keeps.
+    """The claims that this VM holds, and the answers that it stores.
 
     Attributes:
-        max_bytes: bytes of answers to keep; the oldest bodies go first.
+        max_bytes: limit of the stored bodies in bytes; the bodies of the
+            earliest claims are evicted first.
     """
 
     max_bytes: int = 8 * 1024 * 1024
@@ -241,7 +242,7 @@
         return len(self._held)
 
     def add(self, key: str) -> HeldClaim:
-        """Start to hold a claim; one that is held already stays as it is."""
+        """Add a claim that this VM holds; an existing one stays unchanged."""
         return self._held.setdefault(key, HeldClaim(key))
 
     def find(self, key: str) -> HeldClaim | None:
@@ -249,7 +250,7 @@
         return self._held.get(key)
 
     def take(self, key: str, taker: str) -> bool:
-        """Let a request of this VM run under a claim; only one ever may."""
+        """Take an idle claim for a request of this VM; return whether it was idle."""
         held = self._held.get(key)
         if held is None or held.state is not ClaimState.IDLE:
             return False
@@ -258,17 +259,17 @@
         return True
 
     def adopt(self, key: str, taker: str) -> None:
-        """Let a request run under a claim that another VM handed to it."""
+        """Add a claim that another VM handed over to a request, as taken."""
         self._held[key] = HeldClaim(key, ClaimState.TAKEN, taker=taker)
 
     def put_back(self, key: str) -> None:
-        """Note that the request that took a claim sent no byte."""
+        """Return a taken claim to idle, as its request sent no byte."""
         held = self._held[key]
         if held.state is ClaimState.TAKEN:
             held.state = ClaimState.IDLE
 
     def finish(self, key: str, answer: StoredAnswer | None) -> None:
-        """Note that a claim's request ran, or that it may have (no answer)."""
+        """Record that a claim's request ran, or may have run if ``answer`` is None."""
         held = self._held[key]
         held.state = ClaimState.RAN if answer else ClaimState.UNKNOWN
         held.answer = answer
@@ -276,10 +277,10 @@
         self._evict_bodies()
 
     def hand_over(self, key: str, taker: str) -> bool:
-        """Give a claim whose request was never sent to another VM's request.
+        """Hand over a claim whose request was not sent to a request of another VM.
 
-        The same taker may ask again, as the reply may be lost; any other is
-        turned down. Returns whether the taker may run the request.
+        The same taker may repeat the call, as the reply may be lost; any other
+        taker is refused. Returns whether the taker may run the request.
         """
         held = self._held.get(key)
         if held is None:
