--- a/src/ramppin/router/request/answer.py
+++ b/src/ramppin/router/request/answer.py
@@ -1,4 +1,4 @@
-"""An answer that is streamed to its caller and always cleans up."""
+"""Streaming responses with a callback that runs when they end."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class StreamedAnswer(StreamingResponse):
-    """A streaming response whose end is told, even if it never began.
+    """A streaming response that reports its end, even if it never started.
 
     Args:
-        content: the parts.
+        content: the parts of the body.
         status_code: the HTTP status.
-        headers: the headers.
-        media_type: the content type; None to leave it to the headers.
-        on_close: called once when the response is over, however it ended.
+        headers: the response headers.
+        media_type: the content type; None to take it from the headers.
+        on_close: called once when the response ends, whether it succeeded or not.
 
     .. versionadded:: 0.1
     """
@@ -34,7 +34,7 @@
         self._on_close = on_close
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Send the response."""
+        """Send the response, then call ``on_close``."""
         try:
             await super().__call__(scope, receive, send)
         finally:
