--- a/src/ramppin/router/request/context.py
+++ b/src/ramppin/router/request/context.py
@@ -1,4 +1,4 @@
-"""What a request may use of the process that serves it."""
+"""Components of the process that requests use."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 
 @dataclass
 class RequestContext:
-    """The parts of a process that requests use.
+    """Components and state of a process that its requests share.
 
     Attributes:
-        vm: this VM.
-        run: the run of its process.
-        fleet_key: signs the ids of stream events.
-        clock: monotonic clock.
-        wall_clock: seconds since the epoch.
-        placer: gets places.
-        backends: sends to backend servers.
-        claimer: claims keys on the log.
-        claims: all claims.
-        held_claims: those that this VM holds.
-        links: links to other VMs.
-        traces: for explanations.
-        metrics: of the process.
-        retries: the budget.
-        in_flight: requests in flight.
-        tasks: work that goes on when its caller is gone.
+        vm: name of this VM.
+        run: number that differs each time the VM's process starts.
+        fleet_key: key that signs the ids of stream events.
+        clock: returns monotonic time in seconds.
+        wall_clock: returns seconds since the epoch.
+        placer: acquires and releases places on backend servers.
+        backends: client for requests to backend servers.
+        claimer: claims idempotency keys on the log.
+        claims: claims of all VMs.
+        held_claims: claims that this VM holds.
+        links: connections to other VMs.
+        traces: traces of recent requests, used to explain decisions.
+        metrics: metrics of the process.
+        retries: budget that limits retries.
+        in_flight: number of requests in flight.
+        tasks: background tasks that continue after the caller disconnects.
     """
 
     vm: str
@@ -60,7 +60,7 @@
     tasks: set[asyncio.Task[Any]] = field(default_factory=set)
 
     def spawn(self, work: Coroutine[object, object, Result]) -> asyncio.Task[Result]:
-        """Start work that goes on whatever becomes of its caller."""
+        """Start a task that continues if the caller of this method is cancelled."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
