--- a/src/ramppin/router/request/outcome.py
+++ b/src/ramppin/router/request/outcome.py
@@ -1,4 +1,4 @@
-"""What an answer says about whether its request ran."""
+"""Outcome of a request, as reported to the caller."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Outcome(StrEnum):
-    """Whether a request ran, as told to its caller.
+    """Whether a request ran at a backend server.
 
-    ``NOT_RUN`` is said only where no byte of the request left for a backend
-    server. ``UNKNOWN`` is said where it may have run and its answer is lost.
+    ``NOT_RUN`` is used only if no byte of the request was sent to a backend
+    server, ``UNKNOWN`` if the request may have run and its answer is lost.
     """
 
     RAN = "ran"
