--- a/src/ramppin/router/request/headers.py
+++ b/src/ramppin/router/request/headers.py
@@ -1,4 +1,4 @@
-"""What a caller's headers ask for."""
+"""Parsing of a caller's request headers."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from ramppin.router.request.problem import VERSION_HEADER
 
 PRIVATE_HEADERS = ("authorization", "host", "content-length", "idempotency-key")
-"""Headers of a caller that don't go on to the backend server as they are."""
+"""Headers of a caller that are not forwarded to the backend server unchanged."""
 
 
 def build_call(request: Request, path: str) -> Call:
-    """Return the call that a caller's request makes.
+    """Build the call for a caller's request.
 
     Args:
-        request: the caller's request.
-        path: its path below the service.
+        request: the caller's HTTP request.
+        path: its path relative to the service.
 
     Raises:
-        RefusedError: a header can't be read; the message names it.
+        RefusedError: a header is invalid; the message names it.
     """
     key = request.headers.get("idempotency-key", "")
     query = f"?{request.url.query}" if request.url.query else ""
@@ -53,10 +53,10 @@
 
 
 def read_deadline(request: Request) -> float | None:
-    """Return the caller's own deadline in seconds, or None.
+    """Return the caller's deadline in seconds from now, or None if it sets none.
 
     Raises:
-        RefusedError: the header is no time.
+        RefusedError: the header is not a number of seconds in the allowed range.
     """
     text = request.headers.get("ramppin-deadline", "")
     if not text:
