--- a/src/ramppin/router/request/identity.py
+++ b/src/ramppin/router/request/identity.py
@@ -1,8 +1,7 @@
-"""Identity of requests and of chats.
+"""Ids of requests and keys of chats.
 
-A request id names the VM that decided it, so that any VM can fetch the
-explanation. A chat's key is a 64-bit hash; the same chat gives the same key
-on every VM.
+A request id contains the VM that handled the request, so that any VM can fetch the
+explanation from it. The key of a chat is a 64-bit hash that is equal on every VM.
 """
 
 from __future__ import annotations
@@ -13,17 +12,17 @@
 import xxhash
 
 OPENING_MESSAGES = 2
-"""How many messages name a chat whose caller gives it no identity."""
+"""Number of first messages that identify a chat without a name."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestId:
-    """A request's id: the VM that decided it and its number there.
+    """Id of a request: the VM that handled it and a number unique on that VM.
 
     Attributes:
         vm: name of the VM.
         run: number that differs each time the VM's process starts.
-        number: counts the requests of that process.
+        number: sequence number of the request in that process.
     """
 
     vm: str
@@ -35,7 +34,7 @@
 
 
 def parse_request_id(text: str) -> RequestId | None:
-    """Return the id that a text shows, or None."""
+    """Parse a request id; return None if the text is not one."""
     parts = text.rsplit(".", 2)
     if len(parts) != 3 or not parts[0]:
         return None
@@ -46,21 +45,22 @@
 
 
 def hash_chat(customer: str, name: str) -> int:
-    """Return the key of a chat that its caller named.
+    """Return the key of a chat that has a name.
 
     Args:
-        customer: who owns the chat; names of two customers never meet.
-        name: the caller's name for the chat.
+        customer: the customer that owns the chat; it is part of the hashed text, so
+            equal names of two customers give different keys.
+        name: name that the caller gave the chat.
     """
     return xxhash.xxh3_64_intdigest(f"{customer}\0{name}".encode())
 
 
 def hash_opening(customer: str, contents: Sequence[str]) -> int:
-    """Return the key of a chat that is known only by its opening messages.
+    """Return the key of a chat without a name, from its first messages.
 
     Args:
-        customer: who owns the chat.
-        contents: the text of its messages, oldest first.
+        customer: the customer that owns the chat.
+        contents: texts of the messages, oldest first.
     """
     opening = "\0".join(contents[:OPENING_MESSAGES])
     return hash_chat(customer, f"\0opening\0{opening}")
