--- a/src/ramppin/router/request/problem.py
+++ b/src/ramppin/router/request/problem.py
@@ -1,4 +1,4 @@
-"""The bodies of refusals: OpenAI's shape for chats, RFC 9457 for the rest."""
+"""Error responses: OpenAI's format for chats, RFC 9457 for other services."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def build_headers(request_id: str, version: int, outcome: str) -> dict[str, str]:
-    """Return the headers that each answer and refusal carries."""
+    """Return the headers that are part of every answer and error response."""
     return {
         REQUEST_HEADER: request_id,
         VERSION_HEADER: str(version),
@@ -25,7 +25,7 @@
 
 
 def build_chat_error(error: RefusedError, headers: dict[str, str]) -> Response:
-    """Return a refusal in the shape that the OpenAI clients know."""
+    """Return an error response in the format that OpenAI clients parse."""
     kind = "rate_limit_error" if error.status == 429 else "server_error"
     if 400 <= error.status < 429:
         kind = "invalid_request_error"
@@ -44,7 +44,7 @@
 
 
 def build_problem(error: RefusedError, headers: dict[str, str]) -> Response:
-    """Return a refusal as a problem document (RFC 9457)."""
+    """Return an error response as a problem document (RFC 9457)."""
     body = {
         "type": f"urn:ramppin:{error.code}",
         "title": error.message,
