--- a/src/ramppin/router/request/trace.py
+++ b/src/ramppin/router/request/trace.py
@@ -1,4 +1,4 @@
-"""The trace of a decision, from which it is explained."""
+"""Traces of requests, from which placement decisions are explained."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from ramppin.router.version.tree import RuleSource
 
 MAX_STEPS = 64
-"""Steps kept of one request; the rest is counted only."""
+"""Maximum number of stored steps per request; further steps are only counted."""
 
 
 @dataclass(frozen=True, slots=True)
 class TraceStep:
-    """One step of a decision.
+    """One step in the handling of a request.
 
     Attributes:
-        at_s: seconds since the request came.
+        at_s: seconds since the request arrived.
         step: name of the step, for instance ``"place"``.
         peer: VM or backend server involved, or ``""``.
-        finding: what was found and done, in the terms of the settings.
+        finding: result of the step, in the terms of the settings.
         rules: names of the rules that the step applied.
     """
 
@@ -32,17 +32,18 @@
 
 @dataclass(slots=True)
 class Trace:
-    """Everything needed to explain what became of a request.
+    """Everything needed to explain how a request was handled.
 
     Attributes:
-        request_id: the request.
-        vm: the VM that decided.
-        version: the settings' version by which it decided.
-        customer: who asked.
-        service: what was asked for.
-        sources: each rule in force, with the path and level it came from.
-        steps: what was done, in order.
-        outcome: ``ran``, ``not-run``, ``unknown``, or ``""`` while it runs.
+        request_id: id of the request.
+        vm: the VM that handled the request.
+        version: version of the settings in force.
+        customer: the customer that sent the request.
+        service: the requested service.
+        sources: each rule in force, with the path and level that set it.
+        steps: the stored steps, in order.
+        dropped_steps: number of steps that were not stored.
+        outcome: ``ran``, ``not-run``, ``unknown``, or ``""`` before the end.
     """
 
     request_id: str
@@ -58,7 +59,7 @@
     def add(
         self, at_s: float, step: str, finding: str, *rules: str, peer: str = ""
     ) -> None:
-        """Add a step; a request with very many keeps the first."""
+        """Add a step, or count it as dropped once ``MAX_STEPS`` are stored."""
         if len(self.steps) >= MAX_STEPS:
             self.dropped_steps += 1
             return
@@ -66,10 +67,10 @@
 
 
 class TraceStore:
-    """The traces of the newest requests of a process, bounded.
+    """A bounded store of the traces of the most recent requests.
 
     Args:
-        keep: how many to keep.
+        keep: maximum number of traces.
     """
 
     def __init__(self, *, keep: int = 4096) -> None:
@@ -80,11 +81,11 @@
         return len(self._traces)
 
     def put(self, trace: Trace) -> None:
-        """Keep a trace, and drop the oldest past the limit."""
+        """Store a trace and evict the oldest traces beyond the limit."""
         self._traces[trace.request_id] = trace
         while len(self._traces) > self._keep:
             self._traces.popitem(last=False)
 
     def find(self, request_id: str) -> Trace | None:
-        """Return the trace of a request, or None."""
+        """Return the trace of a request, or None if it is not stored."""
         return self._traces.get(request_id)
