--- a/src/ramppin/router/request/__init__.py
+++ b/src/ramppin/router/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a request: identity, ranking, placement, outcome, trace."""
+"""Handling of one request: identity, placement, sending, outcome and trace."""
