--- a/src/ramppin/router/request/claimholder.py
+++ b/src/ramppin/router/request/claimholder.py
@@ -1,7 +1,7 @@
-"""What becomes of a claimed key, as its holder tells it.
+"""Requests to the VM that holds a claim for the result of the claimed request.
 
-A repeat of a key asks the VM that holds the key's claim; the holder answers with
-the result of its run, or gives the claim away if it never sent the request.
+A repeat of a key asks the VM that holds the key's claim. The holder replies with the
+stored answer, or hands the claim over if it never sent the request.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 from ramppin.router.process.claims.claims import ClaimState, HeldClaim, HeldClaims
 
 REPLY_EXTRA_S = 0.5
-"""How much longer than the holder's own wait its reply is awaited."""
+"""Time to wait for the holder's reply beyond the wait requested of it."""
 
 RETRY_PAUSE_S = 0.5
-"""Seconds before a holder that did not answer is asked again."""
+"""Pause before a request to an unreachable holder is repeated."""
 
 MAX_ATTEMPTS = 3
-"""How often a listed holder is asked; a reply that is lost is given again."""
+"""Maximum number of requests to a listed holder; it repeats a lost reply."""
 
 LISTING_PAUSE_S = 0.1
-"""Seconds between two looks at the list of VMs for a holder."""
+"""Pause between two lookups of the holder in the list of VMs."""
 
 MAX_LISTING_LAG_S = 5.0
-"""How long a holder may be missing from the list of VMs, which lags.
+"""Maximum time for which a holder may be missing from the list of VMs.
 
-A claim in the log names a VM that ran, so one that is not listed has most often
-started a moment ago.
+The list lags behind, and a claim in the log names a VM that ran, so a holder that is
+not listed has usually just started.
 """
 
 POLL_S = 0.02
-"""Seconds between two checks of whether a claim held here still runs."""
+"""Interval of checks whether the request of a held claim is still running."""
 
 LOG_READ_TIMEOUT_S = 3.0
-"""How long a claim's holder waits to read of it from the log itself."""
+"""Maximum time for which a holder waits to read its own claim from the log."""
 
 
 async def ask_holder(
@@ -49,18 +49,18 @@
     taker: str,
     remaining_s: Callable[[], float],
 ) -> ClaimReply:
-    """Ask the holder of a claim what became of it.
+    """Ask the holder of a claim for the state or answer of the claimed request.
 
     Args:
-        links: to the VMs of the fleet.
+        links: connections to the VMs of the fleet.
         holder: the VM that holds the claim.
-        run: the run of the holder's process.
-        key: the claim's key.
-        taker: the request that would run it, were it never sent.
-        remaining_s: returns the seconds that the request has left.
+        run: number of the start of the holder's process.
+        key: key of the claim.
+        taker: id of the request that takes the claim over if it was never sent.
+        remaining_s: returns the seconds until the request's deadline.
 
     Raises:
-        PeerUnavailableError: the holder can't be reached.
+        PeerUnavailableError: the holder cannot be reached.
     """
     attempts = 0
     waits_until = remaining_s() - MAX_LISTING_LAG_S
@@ -94,18 +94,18 @@
     *,
     own: bool = False,
 ) -> ClaimReply:
-    """Return what became of a claim that this VM holds.
+    """Wait for the result of a claim that this VM holds and build the reply.
 
     Args:
         held_claims: the claims that this VM holds.
-        call: number of the call, for the reply.
-        key: the claim's key.
-        taker: the request that would run it, were it never sent.
-        wait_s: how long to wait for one that is running.
+        call: number of the call, copied to the reply.
+        key: key of the claim.
+        taker: id of the request that takes the claim over if it was never sent.
+        wait_s: maximum time to wait for a running request.
         own: whether the taker is a request of this VM.
     """
     left = wait_s
-    # The asker may have read the claim from the log before this VM did.
+    # The requesting VM may have read the claim from the log before this VM.
     unseen = min(wait_s, LOG_READ_TIMEOUT_S)
     held = held_claims.find(key)
     while left > 0 and (held.running if held else wait_s - left < unseen):
