--- a/src/ramppin/router/request/stream.py
+++ b/src/ramppin/router/request/stream.py
@@ -1,7 +1,7 @@
-"""Streams of an engine's answer, relayed event by event.
+"""Relaying of a model engine's event stream, with ids that allow resuming it.
 
-Each event's id says how to resume the stream through any VM: the engine, the
-stream, the position, and a signature that binds them to the customer.
+Each event's id contains what any VM needs to resume the stream: the engine, the
+stream, the position, and a signature that binds engine and stream to the customer.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 _END = b"\n\n"
 DONE = b"data: [DONE]"
 MAX_EVENT_BYTES = 1024 * 1024
-"""Bytes of one event past which a stream is broken, a bound on memory."""
+"""Maximum size of an event; bounds the memory of a relay."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamId:
-    """What names a stream for its caller.
+    """Identity of a stream and the caller's position in it.
 
     Attributes:
-        backend_server: the engine.
-        stream: the stream's id there.
-        position: events that the caller has.
+        backend_server: name of the engine.
+        stream: id of the stream at the engine.
+        position: number of the last event that the caller has received.
     """
 
     backend_server: str
@@ -43,7 +43,7 @@
 
 
 def parse_stream_id(text: str, key: str, customer: str) -> StreamId | None:
-    """Return what an event id names, or None if it isn't this customer's."""
+    """Parse an event id; return None if it is invalid or another customer's."""
     parts = text.split("/")
     if len(parts) != 4 or not parts[2].isdigit():
         return None
@@ -54,12 +54,12 @@
 
 
 class EventRelay:
-    """Relays the events of one answer and knows whether it was whole.
+    """Relays the events of a stream and records whether the last one arrived.
 
     Args:
-        stream: names the stream.
-        key: signs event ids.
-        customer: whose stream it is.
+        stream: identity of the stream.
+        key: key that signs event ids.
+        customer: the customer that owns the stream.
 
     .. versionadded:: 0.1
     """
@@ -71,7 +71,7 @@
         self._suffix = f"/{stream.sign(key, customer)}".encode()
 
     async def relay(self, answer: BackendAnswer) -> AsyncIterator[bytes]:
-        """Yield the events of an answer, in whole.
+        """Yield the events of an answer, never a part of an event.
 
         Raises:
             BrokenAnswerError: the answer ended before its last event.
@@ -104,7 +104,7 @@
 
 
 def build_error_event(message: str, code: str, last_event_id: str) -> bytes:
-    """Return the event that tells a caller that the stream is broken."""
+    """Return the event that reports a broken stream to the caller."""
     error = {
         "message": message,
         "type": "server_error",
