--- a/src/ramppin/router/request/chat.py
+++ b/src/ramppin/router/request/chat.py
@@ -1,4 +1,4 @@
-"""A chat's request: to a model engine and back, streamed or whole."""
+"""Requests of chats to model engines, with streamed or unstreamed answers."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from ramppin.router.request.stream import EventRelay, StreamId, build_error_event
 
 MAX_RESUMES = 2
-"""How often a broken stream is resumed from its engine."""
+"""Maximum number of times that a broken stream is resumed from its engine."""
 
 COMPLETIONS_PATH = "/v1/chat/completions"
 
 
 class ChatMessage(BaseModel):
-    """One message of a chat, as far as routing needs it."""
+    """One message of a chat, with the fields that routing uses."""
 
     model_config = ConfigDict(extra="allow")
 
@@ -32,7 +32,7 @@
 
 
 class ChatBody(BaseModel):
-    """The body of a chat's request, as far as routing needs it."""
+    """Body of a chat's request, with the fields that routing uses."""
 
     model_config = ConfigDict(extra="allow")
 
@@ -43,10 +43,10 @@
 
 
 def parse_chat(data: bytes) -> ChatBody:
-    """Parse a chat's body.
+    """Parse the body of a chat's request.
 
     Raises:
-        RefusedError: it is no chat; the message names the place.
+        RefusedError: the body is invalid; the message names the first invalid field.
     """
     try:
         return ChatBody.model_validate_json(data)
@@ -59,12 +59,12 @@
 
 
 def identify_chat(body: ChatBody, name: str, customer: str) -> int:
-    """Return the chat's key.
+    """Return the key of a chat.
 
     Args:
-        body: the request.
-        name: the chat's name from its header, or ``""``.
-        customer: who owns the chat.
+        body: the parsed body.
+        name: name of the chat from the request header, or ``""``.
+        customer: the customer that owns the chat.
     """
     name = name or body.prompt_cache_key or ""
     if name:
@@ -73,19 +73,19 @@
 
 
 def is_returning(body: ChatBody) -> bool:
-    """Return whether a chat was answered before."""
+    """Return whether an earlier request of the chat was answered."""
     return any(message.role == "assistant" for message in body.messages)
 
 
 class ChatRun:
-    """What lives for one request of a chat.
+    """Sends one request of a chat to an engine and returns its answer.
 
     Args:
-        run: the request.
-        body: its parsed body.
-        data: its body as it came; it goes to the engine unchanged.
-        chat: the chat's key.
-        resumable: whether the stream goes on when its caller is gone.
+        run: state of the request.
+        body: the parsed body.
+        data: the body as received; it is sent to the engine unchanged.
+        chat: key of the chat.
+        resumable: whether the stream continues if the caller disconnects.
 
     .. versionadded:: 0.1
     """
@@ -107,10 +107,10 @@
         self._failed = False
 
     async def answer(self) -> Response:
-        """Return the answer.
+        """Return the answer, streamed if the caller asked for a stream.
 
         Raises:
-            RefusedError: there is none.
+            RefusedError: no engine answered, or the answer was lost.
         """
         returning = is_returning(self._body)
         sent = await self._run.send(
@@ -185,7 +185,7 @@
         if relay.complete:
             self._run.free(sent.place)
         elif self._failed or self._resumable:
-            # The engine goes on with the stream, so that it can be resumed.
+            # The engine continues the stream, so that it can be resumed.
             self._run.free(sent.place, failed=self._failed, running=True)
         else:
             self._cancel(sent)
@@ -206,10 +206,10 @@
 async def relay_with_resume(
     run: RequestRun, relay: EventRelay, sent: SentAttempt
 ) -> AsyncIterator[bytes]:
-    """Yield a stream's events; resume it from its engine if it breaks.
+    """Yield the events of a stream; resume it from its engine if it breaks.
 
     Raises:
-        BrokenAnswerError: it could not be resumed.
+        BrokenAnswerError: the stream could not be resumed.
     """
     answer = sent.answer
     for attempt in range(MAX_RESUMES + 1):
@@ -230,10 +230,10 @@
 async def open_stream(
     run: RequestRun, server: str, address: str, stream: str, position: int
 ) -> BackendAnswer:
-    """Ask an engine for a stream from a position on.
+    """Request the events of a stream after a position from its engine.
 
     Raises:
-        BrokenAnswerError: the engine does not have it any more.
+        BrokenAnswerError: the engine is unreachable or no longer has the stream.
     """
     path = f"/v1/streams/{stream}?after={position}"
     request = BackendRequest("GET", path, {}, None, run.remaining_s)
@@ -248,12 +248,12 @@
 
 
 class ResumedRun:
-    """What lives for a request that resumes a stream.
+    """Resumes a stream after its caller reconnected.
 
     Args:
-        run: the request.
-        stream: the stream and what the caller has of it.
-        address: of the engine.
+        run: state of the request.
+        stream: identity of the stream and the caller's position in it.
+        address: address of the engine.
     """
 
     def __init__(self, run: RequestRun, stream: StreamId, address: str) -> None:
@@ -265,7 +265,7 @@
         """Return the rest of the stream.
 
         Raises:
-            RefusedError: it can't be resumed.
+            RefusedError: the stream cannot be resumed.
         """
         run, stream = self._run, self._stream
         try:
@@ -320,7 +320,7 @@
 
 
 async def _cancel_stream(run: RequestRun, sent: SentAttempt) -> None:
-    """Tell the engine that nobody wants the stream, then free its place."""
+    """Cancel the stream at the engine, then release its place."""
     running = True
     try:
         await run.context.backends.cancel_stream(sent.address, sent.attempt)
