--- a/src/ramppin/router/process/membership/__init__.py
+++ b/src/ramppin/router/process/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the fleet: VMs, backend servers, leases on shards."""
+"""The members of the fleet: VMs, backend servers, leases on shards."""
--- a/src/ramppin/router/process/membership/handover.py
+++ b/src/ramppin/router/process/membership/handover.py
@@ -1,4 +1,4 @@
-"""Fetches records from other VMs while this one is cut off from the log."""
+"""Fetches records from other VMs while this VM can't read the log."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 LOG = logging.getLogger(__name__)
 
 INTERVAL_S = 0.5
-"""Seconds between two rounds of questions to peers."""
+"""Time between two rounds of requests to other VMs, in seconds."""
 
 TIMEOUT_S = 1.0
-"""Seconds that a peer's answer may take."""
+"""Time-out of a request for records, in seconds."""
 
 PEERS_ASKED = 2
-"""VMs that are asked at a time; what is newest among them is taken."""
+"""VMs that are asked in a round; the newest of their records applies."""
 
 
 class RecordFetcher:
-    """Asks other VMs for settings and leases while the log can't be read.
+    """Fetches settings and leases from other VMs while the log can't be read.
 
     Args:
         links: links to other VMs.
-        membership: which VMs there are.
+        membership: the listed VMs.
         follower: the settings.
         owner: the leases.
-        seed: of the random choice of VMs.
+        seed: seed of the random choice of VMs.
 
     .. versionadded:: 0.1
     """
@@ -57,7 +57,7 @@
         self._random = random.Random(seed)
 
     async def run(self) -> None:
-        """Fetch when need be, until cancelled."""
+        """Fetch records of unreadable streams until cancelled."""
         while True:
             await asyncio.sleep(INTERVAL_S)
             others = self._membership.other_routers
@@ -74,7 +74,9 @@
                 for offset, value in await self._fetch(vm, ownership.STREAM):
                     self._owner.apply_handed_on(offset, value)
         except PeerUnavailableError as error:
-            LOG.debug("no records: %s", error, extra={"step": "fetch", "peer": vm})
+            LOG.debug(
+                "records not fetched: %s", error, extra={"step": "fetch", "peer": vm}
+            )
 
     async def _fetch(self, vm: str, stream: str) -> list[tuple[int, object]]:
         link = await self._links.open(vm)
--- a/src/ramppin/router/process/membership/leases.py
+++ b/src/ramppin/router/process/membership/leases.py
@@ -1,12 +1,12 @@
-"""Leases: which VM's allocator counts for a shard.
+"""Leases: which VM runs the allocator of a shard.
 
-A shard is a pool, or a part of one. The log's order decides who owns it: a
+A shard is a pool, or a part of one. The order of the log decides its owner: a
 claim names the epoch that it replaces, and the first such claim wins. The
-owner renews its lease on the log and stops to grant when it can't. A lease is
-no fence; therefore a new owner waits until the former one must have stopped.
+owner renews its lease on the log, and stops granting when it can't. A lease is
+not a fence, so a new owner waits until the former one must have stopped.
 
-Plain synchronous state machines: records and clock readings in, typed plans
-out. All times are readings of the VM's own monotonic clock, in seconds.
+Synchronous state machines: the inputs are records and clock readings, the
+outputs typed plans. All times are readings of the VM's own monotonic clock, in seconds.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class LeaseClaim(_Record):
-    """A VM wants to own a shard after epoch ``replaces``."""
+    """A VM claims ownership of a shard after epoch ``replaces``."""
 
     kind: Literal["claim"] = "claim"
     shard: str
@@ -48,7 +48,7 @@
 
 
 class LeaseRelease(_Record):
-    """A VM gives a shard up; anyone may claim it at once."""
+    """A VM releases shards; any VM may claim them immediately."""
 
     kind: Literal["release"] = "release"
     vm: str
@@ -64,16 +64,16 @@
 
 @dataclass(slots=True)
 class Lease:
-    """What the log says of a shard.
+    """State of a shard's lease according to the log.
 
     Attributes:
-        epoch: offset of the claim that won.
+        epoch: offset of the winning claim.
         vm: the owner.
-        run: the run of the owner's process.
-        seen_at: when the newest claim or renewal was read here.
-        claimed_at: when the claim was read here.
-        released: whether the owner gave it up.
-        contested: whether a former owner did not give the shard up.
+        run: number of the run of the owner's process.
+        seen_at: time at which this VM read the newest claim or renewal.
+        claimed_at: time at which this VM read the claim.
+        released: whether the owner released it.
+        contested: whether a former owner may not have released the shard.
     """
 
     epoch: int
@@ -86,7 +86,7 @@
 
 
 class LeaseTable:
-    """The owners of all shards, from the log's records in order.
+    """The owners of all shards, built from the records of the log in order.
 
     .. versionadded:: 0.1
     """
@@ -136,7 +136,7 @@
         for shard, epoch in record.epochs.items():
             lease = self.leases.get(shard)
             if lease is None or lease.epoch < epoch:
-                # The claim itself is past the log's retention.
+                # The claim record was trimmed by the log's retention.
                 self.leases[shard] = Lease(epoch, record.vm, record.run, now)
             elif lease.epoch == epoch and not lease.released:
                 lease.seen_at = now
@@ -152,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeasePlan:
-    """What a VM should append to the log now.
+    """Records that a VM should append to the log now.
 
     Attributes:
         claims: shards to claim.
@@ -164,13 +164,13 @@
 
 
 class LeaseHolder:
-    """The leases of one VM: when to claim, to renew and to grant.
+    """The leases of one VM, and when it may claim, renew and grant.
 
     Args:
         vm: the VM's name.
-        run: the run of its process; a restarted VM is another owner.
-        ttl_s: how long a lease lasts.
-        table: what the log says.
+        run: number of the run of its process; after a restart it is another owner.
+        ttl_s: lifetime of a lease in seconds.
+        table: the leases according to the log.
 
     .. versionadded:: 0.1
     """
@@ -198,18 +198,18 @@
                 self._extend(record.epochs, sent + self._ttl_s)
 
     def note_log(self, now: float, *, up: bool) -> None:
-        """Note whether the log could be read; time without it proves nothing."""
+        """Record whether the log is readable; time without it expires no lease."""
         if not up:
             self._log_up_since = None
         elif self._log_up_since is None:
             self._log_up_since = now
 
     def drain(self) -> None:
-        """Claim nothing more."""
+        """Stop claiming shards."""
         self._draining = True
 
     def list_owned(self) -> dict[str, int]:
-        """Return the shards that the log gives to this VM, with their epochs."""
+        """Return the epochs of the shards that this VM owns, by shard."""
         return {
             shard: lease.epoch
             for shard, lease in self.table.leases.items()
@@ -224,11 +224,11 @@
         return self._valid_until.get((shard, epoch), 0.0) > now
 
     def get_grant_start(self, shard: str) -> float | None:
-        """Return when a newly claimed shard's former owner must have stopped.
+        """Return the time by which a shard's former owner must have stopped.
 
-        None if this VM doesn't own the shard. A former owner may have lived on
-        with the consent of every VM (:meth:`extend_by_peers`) until it could
-        learn of the claim, so the wait counts from the claim.
+        None if this VM doesn't own the shard. A former owner may have extended
+        its lease through all VMs (:meth:`extend_by_peers`) until the claim was
+        readable, so the wait starts at the claim.
         """
         lease = self.table.leases.get(shard)
         if lease is None or not self._is_mine(lease.vm, lease.run):
@@ -240,11 +240,11 @@
     def extend_by_peers(
         self, asked_at: float, views: Iterable[dict[str, int]]
     ) -> list[str]:
-        """Extend leases while the log is down, as no VM knows of a newer claim.
+        """Extend leases while the log is down if every VM has the same epoch.
 
         Args:
-            asked_at: when the VMs were asked.
-            views: the epochs that each VM of the platform's list knows; one
+            asked_at: time at which the VMs were asked.
+            views: the epochs that each VM of the platform's list has; a VM
                 that did not answer must be passed as an empty mapping.
 
         Returns:
@@ -260,11 +260,11 @@
         return sorted(extended)
 
     def plan(self, shards: Iterable[str], vms: Sequence[str], now: float) -> LeasePlan:
-        """Return what to append now.
+        """Return the records to append now.
 
         Args:
             shards: all shards of the settings in force.
-            vms: the live VMs, this one included.
+            vms: the live VMs, including this one.
             now: reading of the monotonic clock, in seconds.
         """
         claims = tuple(
@@ -280,7 +280,7 @@
         return LeasePlan(claims, self._plan_renewal(now))
 
     def plan_release(self) -> LeaseRelease | None:
-        """Return the record that gives all shards up, or None if none is held."""
+        """Return the record that releases all shards, or None if none is owned."""
         owned = self.list_owned()
         if not owned:
             return None
--- a/src/ramppin/router/process/membership/membership.py
+++ b/src/ramppin/router/process/membership/membership.py
@@ -1,4 +1,4 @@
-"""Which VMs and backend servers there are, as the platform's list shows."""
+"""VMs and backend servers of the fleet, from the platform's list."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Membership:
-    """Follows the platform's list; a plain state machine but for :meth:`run`.
+    """Follows the platform's list; does no I/O outside :meth:`run`.
 
     Args:
         vm: this VM.
@@ -33,22 +33,22 @@
 
     @property
     def live_routers(self) -> list[str]:
-        """Names of the routers that stay, this one included once it is listed."""
+        """Names of the listed routers that aren't leaving; may include this one."""
         return self.list.live_routers if self.list else []
 
     @property
     def other_routers(self) -> list[str]:
-        """Names of all other listed routers, leaving ones too."""
+        """Names of all other listed routers, including leaving ones."""
         routers = self.list.routers if self.list else {}
         return [name for name in routers if name != self._vm]
 
     def find_address(self, vm: str) -> str | None:
-        """Return where a router accepts links, or None."""
+        """Return the address at which a router accepts links, or None."""
         entry = self.list.routers.get(vm) if self.list else None
         return entry.address if entry and entry.address else None
 
     def apply(self, listed: VmList | None) -> None:
-        """Take in what the list is now; None changes nothing."""
+        """Apply the current list; None leaves it unchanged."""
         if listed is None:
             return
         now = self._clock()
@@ -63,14 +63,16 @@
     async def run(
         self, client: VmListClient, poll_s: float, on_change: Callable[[], None]
     ) -> None:
-        """Read the list again and again until cancelled."""
+        """Read the list every ``poll_s`` seconds until cancelled."""
         was_up = True
         while True:
             try:
                 listed = await client.read()
             except RamppinError as error:
                 if was_up:
-                    LOG.warning("list not readable: %s", error, extra={"step": "list"})
+                    LOG.warning(
+                        "VM list not readable: %s", error, extra={"step": "list"}
+                    )
                 was_up = False
             else:
                 was_up = True
--- a/src/ramppin/router/process/membership/ownership.py
+++ b/src/ramppin/router/process/membership/ownership.py
@@ -1,4 +1,4 @@
-"""Keeps this VM's leases: claims, renews, and lives through log outages."""
+"""Claims and renews this VM's leases, and extends them during log outages."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 
 STREAM = "leases"
 STEPS_PER_TTL = 6
-"""How often in a lease's life the VM looks what to do."""
+"""Number of checks for claims and renewals in the lifetime of a lease."""
 
 
 class Ownership:
-    """The leases of this VM and the allocators that they allow.
+    """The leases of this VM, and the allocators that may grant under them.
 
     Args:
         vm: this VM.
-        run: the run of its process.
-        ttl_s: how long a lease lasts.
-        client: the log's client.
-        membership: which VMs there are.
+        run: number of the run of its process.
+        ttl_s: lifetime of a lease in seconds.
+        client: client of the log.
+        membership: the listed VMs.
         host: the allocators.
-        table: what the log says.
+        table: the leases according to the log.
         holder: this VM's leases.
         clock: monotonic clock.
-        wait_s: longest wait of one read of the log.
-        poll_min_s: shortest time between two reads.
+        wait_s: maximum wait of one read of the log.
+        poll_min_s: minimum time between two reads.
 
     .. versionadded:: 0.1
     """
@@ -82,17 +82,17 @@
         self.tail = Tail(client, STREAM, events, wait_s=wait_s, poll_min_s=poll_min_s)
 
     def set_shards(self, shards: list[Shard]) -> None:
-        """Take over which shards there are and what they are made of."""
+        """Apply the definitions of the shards."""
         self._shards = shards
         self._refresh()
 
     def apply_handed_on(self, offset: int, value: object) -> None:
-        """Apply a record that another VM handed on."""
+        """Apply a record that was fetched from another VM."""
         self.table.apply(offset, value, self._clock())
         self._refresh()
 
     def build_records(self) -> list[tuple[int, LeaseRenewal]]:
-        """Return who owns what as records that may be handed on."""
+        """Return the leases as records that other VMs can apply."""
         return [
             (
                 lease.epoch,
@@ -120,7 +120,7 @@
             await asyncio.sleep(self._ttl_s / STEPS_PER_TTL)
 
     async def release(self) -> None:
-        """Give all shards up, so that others need not wait for them."""
+        """Release all shards, so that other VMs can claim them immediately."""
         self.holder.drain()
         record = self.holder.plan_release()
         self._gate()
@@ -136,7 +136,9 @@
     def _refresh(self) -> None:
         vms = self._membership.live_routers
         for shard in self.host.refresh(self._shards, vms, self._clock()):
-            LOG.warning("shard lost", extra={"step": "lease", "shard": shard})
+            LOG.warning(
+                "shard no longer owned", extra={"step": "lease", "shard": shard}
+            )
         self.on_owners()
 
     def _gate(self) -> None:
@@ -152,7 +154,7 @@
         try:
             await self._client.append(STREAM, record)
         except LogUnavailableError as error:
-            LOG.info("no lease record: %s", error, extra={"step": "lease"})
+            LOG.info("lease record not appended: %s", error, extra={"step": "lease"})
 
     async def _extend_by_peers(self) -> None:
         asked_at = self._clock()
--- a/src/ramppin/router/process/membership/peers.py
+++ b/src/ramppin/router/process/membership/peers.py
@@ -1,4 +1,4 @@
-"""What this VM does with the messages of other VMs."""
+"""Handles the messages of other VMs."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
 
     Args:
         host: the shards that this VM owns.
-        table: who owns which shard.
-        traces: of the requests that this VM decided.
+        table: the owners of the shards.
+        traces: traces of the requests that this VM decided.
         held_claims: the claims that this VM holds.
-        resolve: builds the allocator's request from an ask, by the settings.
+        resolve: builds the allocator's request from an ``Ask`` and the settings.
         follower: the settings.
         owner: the leases.
-        run: the run of this process.
+        run: number of the run of this process.
         clock: monotonic clock.
     """
 
@@ -106,16 +106,16 @@
             case AskClaim():
                 self._start(self._answer_claim(message, send))
             case _:
-                LOG.warning("message not expected", extra={"step": "peer", "peer": vm})
+                LOG.warning("unexpected message", extra={"step": "peer", "peer": vm})
 
     def handle_link_down(self, vm: str) -> None:
-        """Count a VM as lost; its sync takes that back if it is there again."""
+        """Treat a VM as lost; its next sync restores its places."""
         self._senders.pop(vm, None)
         LOG.info("link down", extra={"step": "peer", "peer": vm})
         self._host.handle_vm_loss(vm, self._clock())
 
     def deliver(self, decision: Decision, epoch: int) -> None:
-        """Send a decision to the VM that asked; lost if it has no link."""
+        """Send a decision to the requesting VM; dropped if it has no link."""
         send = self._senders.get(decision.place.vm)
         if send is None:
             return
