--- a/src/ramppin/router/connection/messages.py
+++ b/src/ramppin/router/connection/messages.py
@@ -266,7 +266,7 @@
             f"invalid CBOR: {error}", step="decode", peer=peer
         ) from error
     if not isinstance(value, list) or not value:
-        raise ProtocolError("not a CBOR array", step="decode", peer=peer)
+        raise ProtocolError("empty, or not a CBOR array", step="decode", peer=peer)
     tag, *values = value
     if not isinstance(tag, int) or not 0 <= tag < len(_KINDS):
         raise ProtocolError(f"unknown message tag {tag!r}", step="decode", peer=peer)
