--- a/src/ramppin/router/request/call.py
+++ b/src/ramppin/router/request/call.py
@@ -44,7 +44,7 @@
 
 
 class CallRun:
-    """Forwards a call without an idempotency key and streams the answer back.
+    """Sends a call without an idempotency key once and streams the answer back.
 
     Args:
         run: state of the request.
--- a/src/ramppin/router/request/identity.py
+++ b/src/ramppin/router/request/identity.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestId:
-    """Id of a request: the VM that handled it and a number unique on that VM.
+    """Id of a request: the VM, the start of its process and a number.
 
     Attributes:
         vm: name of the VM.
--- a/src/ramppin/router/request/placement.py
+++ b/src/ramppin/router/request/placement.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaceId:
-    """Identity of a place: the VM that holds it and a number unique on that VM."""
+    """Identity of a place: the VM that holds it and its number on that VM."""
 
     vm: str
     number: int
