--- a/src/ramppin/gateway/connection/requestreader.py
+++ b/src/ramppin/gateway/connection/requestreader.py
@@ -27,7 +27,7 @@
         target: path and query as sent.
         headers: in the order and spelling sent.
         body: the complete body.
-        arrived: the loop's time at which the request was complete.
+        arrived: event-loop time at which the request was complete.
         keep_alive: whether the connection may stay open after the answer.
         http_1_0: whether the caller uses HTTP/1.0, without chunked encoding.
     """
--- a/src/ramppin/gateway/connection/upstream.py
+++ b/src/ramppin/gateway/connection/upstream.py
@@ -66,7 +66,7 @@
 
     Attributes:
         peer: as given.
-        idle_since: the loop's time at which the connection became idle.
+        idle_since: event-loop time at which the connection became idle.
         keep_alive_s: idle time-out announced by the server in ``Keep-Alive``, or
             None.
         was_timed_out: whether it ended because the peer sent no acknowledgements.
--- a/src/ramppin/gateway/process/limits/drain.py
+++ b/src/ramppin/gateway/process/limits/drain.py
@@ -26,7 +26,7 @@
 
 ACCEPT_ALL_S = 2.9
 """Seconds during which every request is accepted. Accepting long requests after that
-truncated streams at the limit in 6 of 40 simulated days with random failures."""
+truncated streams at the limit on 6 of 40 days with random failures."""
 
 LIMIT_S = 7.5
 """Seconds until the process exits: half a second before the platform kills it, which
@@ -39,7 +39,7 @@
 
     Attributes:
         detection_s: until the load balancer has detected the stop. Connections stay
-            open until then, and each response asks its caller to close; then idle
+            open until then, and each answer asks its caller to close; then idle
             connections are closed.
         min_close_age_s: minimum age of an idle connection before it is closed: the
             first request of a newer one may be in transit.
--- a/src/ramppin/gateway/process/limits/retrybudget.py
+++ b/src/ramppin/gateway/process/limits/retrybudget.py
@@ -30,7 +30,8 @@
             the platform allows, since the windows of the VMs are not aligned.
         window_s: length of the sliding window in seconds; same as the platform's
             default.
-        extra: retries that one VM may make beyond the ratio while it knows no peers.
+        extra: retries that one VM may make beyond the ratio while it has no peers in
+            its member list.
         fleet_extra: retries that all VMs together may make beyond the ratio; None if
             each VM may make ``extra``.
     """
--- a/src/ramppin/gateway/process/load/estimate.py
+++ b/src/ramppin/gateway/process/load/estimate.py
@@ -18,7 +18,7 @@
 arrive in bursts, as after each stall of the VMs, with low load in between."""
 
 NEVER = float("-inf")
-"""Event loop time of an event that has not occurred."""
+"""Event-loop time of an event that has not occurred."""
 
 
 class ServerLoad:
@@ -27,7 +27,7 @@
     Attributes:
         requests: number of requests that it held, running and waiting, including the
             answered one.
-        reported_at: event loop time of the report.
+        reported_at: event-loop time of the report.
 
     .. versionadded:: 0.3
     """
@@ -46,7 +46,7 @@
         Args:
             requests: number of requests that the server held.
             in_flight: number of requests that this VM has there.
-            now: event loop time.
+            now: event-loop time.
         """
         self._apply(requests, in_flight, now)
         self._pending = True
@@ -57,7 +57,7 @@
         Args:
             requests: number of requests that the server held.
             in_flight: number of requests that this VM has there now.
-            at: event loop time of the report.
+            at: event-loop time of the report.
         """
         if at > self.reported_at:
             self._apply(requests, in_flight, at)
@@ -83,7 +83,7 @@
 
         Args:
             in_flight: number of requests of this VM that it holds.
-            now: event loop time.
+            now: event-loop time.
             mean: mean load of the service's servers.
             lifetime_s: mean time for which a request stays at a server.
         """
--- a/src/ramppin/gateway/process/load/view.py
+++ b/src/ramppin/gateway/process/load/view.py
@@ -59,7 +59,7 @@
 
     Args:
         states: the open servers of a service.
-        now: event loop time.
+        now: event-loop time.
         ratio: see :data:`BOUND_RATIO`.
         slack: see :data:`BOUND_SLACK`.
     """
--- a/src/ramppin/gateway/process/load/waiting.py
+++ b/src/ramppin/gateway/process/load/waiting.py
@@ -70,7 +70,7 @@
 
         Args:
             request: the request.
-            now: event loop time.
+            now: event-loop time.
             usual_s: mean wait for a first byte.
         """
         since = self._since.pop(request, None)
@@ -92,7 +92,7 @@
         """Return how many requests of this VM are overdue, or were when given up.
 
         Args:
-            now: event loop time.
+            now: event-loop time.
             usual_s: mean wait for a first byte.
         """
         latest = now - OVERDUE_RATIO * usual_s
--- a/src/ramppin/gateway/process/membership/health.py
+++ b/src/ramppin/gateway/process/membership/health.py
@@ -2,9 +2,9 @@
 
 No probes are sent: each has a cost, and health endpoints may report a wrong state. A
 server that fails too often is ejected for some time and then readmitted; the next
-requests show whether it is healthy. A server that owes a response and sends nothing is
-unresponsive until a byte arrives. Either state makes it suspect: other servers are
-preferred, and it is used only if none is left.
+requests show whether it is healthy. A server that has unanswered requests and sends
+nothing is unresponsive until a byte arrives. Either state makes it suspect: other
+servers are preferred, and it is used only if none is left.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 faulty."""
 
 UNRESPONSIVE_AFTER_S = 0.8
-"""Seconds without a byte, while a response is due, until a server is unresponsive. A
+"""Seconds without a byte, while an answer is due, until a server is unresponsive. A
 request that another server can still answer must not wait until its deadline."""
 
 
@@ -70,7 +70,7 @@
         return count
 
     def note_unanswered(self, now: float) -> None:
-        """Record a request without a response, a failure if the server is silent."""
+        """Record an unanswered request, a failure if the server is unresponsive."""
         if self.is_unresponsive(now):
             self._pending_failures += 1
 
@@ -84,7 +84,7 @@
 
         Args:
             now: event-loop time.
-            awaited: whether more responses are due.
+            awaited: whether more answers are due.
         """
         self._awaited_since = now if awaited else None
 
@@ -107,7 +107,7 @@
             self.failure_rate = RETURN_FAILURE_RATE
 
     def is_unresponsive(self, now: float) -> bool:
-        """Return whether responses are due and no connection has received a byte.
+        """Return whether answers are due and no connection has received a byte.
 
         False while this process is behind: bytes may have arrived but not been read.
         """
--- a/src/ramppin/gateway/process/membership/servernotices.py
+++ b/src/ramppin/gateway/process/membership/servernotices.py
@@ -14,10 +14,10 @@
     """Where a notice came from; the value appears in decision lines."""
 
     ANSWER = "answer"
-    """A response to a request of this VM."""
+    """An answer to a request of this VM."""
 
     PEER = "peer"
-    """Another VM, which received the notice in a response or from a peer."""
+    """Another VM, which received the notice in an answer or from a peer."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
     Attributes:
         source: where the notice came from.
-        received_at: event-loop time at which a VM received it in a response.
+        received_at: event-loop time at which a VM received it in an answer.
     """
 
     source: NoticeSource
@@ -40,7 +40,7 @@
     Attributes:
         since: event-loop time of the first request for this back-off.
         until: event-loop time at which the back-off ends.
-        request_count: number of responses that asked for it.
+        request_count: number of answers that asked for it.
     """
 
     since: float
@@ -87,7 +87,7 @@
         """Record a back-off; return whether none was in effect before.
 
         A shorter back-off does not end a longer one, because each comes from a
-        separate response.
+        separate answer.
 
         Args:
             backoff_s: duration of the back-off in seconds.
--- a/src/ramppin/gateway/process/operations.py
+++ b/src/ramppin/gateway/process/operations.py
@@ -1,7 +1,7 @@
 """Operators' interface of one gateway process: metrics, state and explanations.
 
-Read-only, except that an operator can clear a quarantined request. Responses never
-contain a caller's key. The keys of the JSON responses are a stable interface
+Read-only, except that an operator can clear a quarantined request. Answers never
+contain a caller's key. The keys of the JSON answers are a stable interface
 (features/interfaces).
 """
 
@@ -205,7 +205,7 @@
         """Do nothing, as no request is pending here."""
 
     def accept_backpressure(self, *, paused: bool) -> None:
-        """Do nothing, as responses here are small."""
+        """Do nothing, as answers here are small."""
 
     def _clear(self, request: CallerRequest, now: float) -> None:
         """Clear a quarantined request if method and fingerprint are valid."""
--- a/src/ramppin/gateway/process/quarantine/quarantine.py
+++ b/src/ramppin/gateway/process/quarantine/quarantine.py
@@ -30,12 +30,11 @@
 
 MAX_RECORDS = 2_048
 """Maximum number of records, which take 0.5 kB with one termination and 1.0 kB with
-three (tracemalloc, mean of 4,096). Records of requests that are not refused are evicted
-first, the oldest before the others."""
+three. Records of requests that are not refused are evicted first, the oldest before the
+others."""
 
 MAX_SERVED = 2_048
-"""Maximum number of fingerprints of successful requests, the newest: 0.35 MB
-(tracemalloc)."""
+"""Maximum number of fingerprints of successful requests, the newest: 0.35 MB."""
 
 
 class ChangeKind(Enum):
@@ -91,7 +90,7 @@
 
     @property
     def digest(self) -> int:
-        """One number for all of :attr:`held`; VMs that hold the same have the same."""
+        """XOR of all :attr:`quarantined` fingerprints; equal for equal sets."""
         digest = 0
         for fingerprint in self._quarantined:
             digest ^= fingerprint
--- a/src/ramppin/gateway/process/quarantine/record.py
+++ b/src/ramppin/gateway/process/quarantine/record.py
@@ -20,7 +20,7 @@
 MIN_ENDS_SERVED = 8
 """The same for a request that succeeded before. It is probably harmless and sent often,
 so it may be in flight at three crashes caused by another request before its next
-complete response."""
+complete answer."""
 
 FIRST_REFUSAL_S = 60.0
 """Refusal period in seconds after the third termination, much longer than the seconds a
@@ -102,7 +102,7 @@
         """Record a successful run on this VM, which clears all terminations.
 
         Args:
-            at: event-loop time at which the response was complete.
+            at: event-loop time at which the answer was complete.
         """
         self.served_at = max(self.served_at, at)
         self.was_served = True
--- a/src/ramppin/gateway/process/recovery/removalhold.py
+++ b/src/ramppin/gateway/process/recovery/removalhold.py
@@ -18,14 +18,14 @@
 
     The hold ends a fixed time after the log's recovery, not after the removal: from
     then on this VM must follow the log. A hold that outlasted the outage sent requests
-    to servers that had left (on 4 of 40 days of the platform's test bench the rule on
-    draining servers was broken, on none without such a hold).
+    to servers that had left. It broke the platform's rule on draining servers on 4 of
+    40 days; without such a hold the rule was broken on none.
 
     Args:
         reachable: whether the last read of the table succeeded.
-        regained_at: the loop's time of the log's last recovery; -inf if it was never
+        regained_at: event-loop time of the log's last recovery; -inf if it was never
             unreachable.
-        now: the loop's time.
+        now: event-loop time.
 
     Returns:
         The loop's time, or None if there was no recent outage of the log.
--- a/src/ramppin/gateway/process/recovery/replica.py
+++ b/src/ramppin/gateway/process/recovery/replica.py
@@ -42,7 +42,7 @@
     Attributes:
         name: the table's name.
         position: offset up to which the log has been read.
-        confirmed_at: the loop's time at which the position was last confirmed to be
+        confirmed_at: event-loop time at which the position was last confirmed to be
             the log's end; -inf before the first read.
 
     .. versionadded:: 0.2
@@ -70,7 +70,7 @@
         Args:
             records: in the order of the log.
             position: offset up to which the log has now been read.
-            as_of: the loop's time at which that was the log's end.
+            as_of: event-loop time at which that was the log's end.
         """
         for record in records:
             self._put(record)
--- a/src/ramppin/gateway/process/reporting/quarantinelines.py
+++ b/src/ramppin/gateway/process/reporting/quarantinelines.py
@@ -12,7 +12,7 @@
 
     Args:
         context: contains the quarantine, the metrics and the decision log.
-        now: the loop's time.
+        now: event-loop time.
     """
     for change in context.quarantine.pop_changes():
         context.metrics.quarantine_changes.inc(change.kind.value)
--- a/src/ramppin/gateway/process/routing/closure.py
+++ b/src/ramppin/gateway/process/routing/closure.py
@@ -42,7 +42,7 @@
 
     Attributes:
         reason: why it is closed.
-        opens_at: event loop time at which it accepts requests again; None if that is
+        opens_at: event-loop time at which it accepts requests again; None if that is
             unknown or it never will.
     """
 
--- a/src/ramppin/gateway/process/routing/directory.py
+++ b/src/ramppin/gateway/process/routing/directory.py
@@ -94,7 +94,7 @@
 
         Args:
             name: the name under which it announced itself.
-            until: event loop time at which it counts as removed.
+            until: event-loop time at which it counts as removed.
         """
         state = self._newest.get(name)
         if state is not None and state.held_until is None:
--- a/src/ramppin/gateway/process/routing/eligibility.py
+++ b/src/ramppin/gateway/process/routing/eligibility.py
@@ -37,7 +37,7 @@
         tried: ids of servers that the request has tried.
         max_in_flight: maximum number of requests that this VM should have in flight at
             one server; None for no limit.
-        now: event loop time.
+        now: event-loop time.
         failing: ids from :func:`find_failing_servers`.
     """
     untried = [state for state in states if state.id not in tried]
@@ -63,7 +63,7 @@
         states: the open servers of a service.
         own_domain: this VM's failure domain.
         requests_per_s: rate of requests that the fleet sends to the service.
-        now: event loop time.
+        now: event-loop time.
     """
     share = requests_per_s / max(1, len(states))
     failing = frozenset(
--- a/src/ramppin/gateway/process/routing/evacuation.py
+++ b/src/ramppin/gateway/process/routing/evacuation.py
@@ -24,7 +24,7 @@
     Attributes:
         domain: the failure domain.
         offset: offset of the evacuation record.
-        since: event loop time at which this VM applied it.
+        since: event-loop time at which this VM applied it.
     """
 
     domain: str
@@ -57,7 +57,7 @@
             domain: the failure domain; it may have no known server, since servers may
                 start there later.
             offset: offset of the evacuation record.
-            now: event loop time.
+            now: event-loop time.
         """
         if domain in self._by_domain:
             return False
--- a/src/ramppin/gateway/process/routing/failuregossip.py
+++ b/src/ramppin/gateway/process/routing/failuregossip.py
@@ -58,7 +58,7 @@
         Args:
             failures: number of failures by server.
             failure_domain: failure domain of that VM.
-            now: event loop time.
+            now: event-loop time.
         """
         for failure in failures:
             state = self._directory.find(failure.server)
--- a/src/ramppin/gateway/process/routing/gate.py
+++ b/src/ramppin/gateway/process/routing/gate.py
@@ -89,7 +89,7 @@
 
         Args:
             service: name of the service.
-            now: event loop time.
+            now: event-loop time.
         """
         states, closed = [], {}
         cold_per_s = self._find_cold_rate(service)
@@ -108,7 +108,7 @@
 
         Args:
             state: the server, for which this VM has taken any quota that it needs.
-            now: event loop time.
+            now: event-loop time.
         """
         lasting = find_lasting_closure(state, self._directory.evacuations)
         return _find_backoff(state, now) if lasting is None else Closure(lasting)
--- a/src/ramppin/gateway/process/routing/hints.py
+++ b/src/ramppin/gateway/process/routing/hints.py
@@ -45,9 +45,8 @@
 again. The same holds for a server near the load bound."""
 
 HOMES_PER_DATAGRAM = 24
-"""Maximum number of homes in one datagram. They take 684 bytes with the server ids of
-the simulated sites: below the usual path MTU, so that the datagram is not
-fragmented."""
+"""Maximum number of homes in one datagram. They take 684 bytes, below the usual path
+MTU, so that the datagram is not fragmented."""
 
 
 class HintExchange:
@@ -127,7 +126,7 @@
         Args:
             hints: the message.
             host: address of the sender.
-            now: event loop time.
+            now: event-loop time.
         """
         known = self._members.note_received(hints.vm, host, now, log_up=hints.log_up)
         if not known:
--- a/src/ramppin/gateway/process/routing/homes.py
+++ b/src/ramppin/gateway/process/routing/homes.py
@@ -36,8 +36,8 @@
 
     Attributes:
         server: id of the backend server.
-        placed_at: event loop time at which the prefix was placed there.
-        announced_at: event loop time of the last announcement by any VM.
+        placed_at: event-loop time at which the prefix was placed there.
+        announced_at: event-loop time of the last announcement by any VM.
     """
 
     server: str
--- a/src/ramppin/gateway/process/routing/hotprefixes.py
+++ b/src/ramppin/gateway/process/routing/hotprefixes.py
@@ -30,14 +30,14 @@
 message is not fragmented with the rest of its content."""
 
 NEVER = float("-inf")
-"""Event loop time of an event that has not occurred."""
+"""Event-loop time of an event that has not occurred."""
 
 _Value = TypeVar("_Value")
 
 
 @dataclass(frozen=True, slots=True)
 class _LastPrompt:
-    """Last prompt of a prefix at this VM: its event loop time and its number."""
+    """Last prompt of a prefix at this VM: its event-loop time and its number."""
 
     at: float
     prompt: int
@@ -65,7 +65,7 @@
         Args:
             key: key of the prefix.
             servers: number of servers of the prompt's service.
-            now: event loop time.
+            now: event-loop time.
         """
         last = self._last_prompts.get(key)
         _put_newest(self._last_prompts, key, _LastPrompt(now, self._prompts))
--- a/src/ramppin/gateway/process/routing/noticegossip.py
+++ b/src/ramppin/gateway/process/routing/noticegossip.py
@@ -19,7 +19,7 @@
 from ramppin.gateway.process.routing.noticeregistry import MS_PER_S
 
 BROADCASTS = 4
-"""Messages that carry a notice which this VM received in a response. With 3 of 5
+"""Messages that carry a notice which this VM received in an answer. With 3 of 5
 datagrams lost, 0.87 of the VMs receive it directly (1 - 0.6**4)."""
 
 SERVERS_PER_MESSAGE = 12
@@ -51,7 +51,7 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether a notice from a response has not been broadcast at all."""
+        """Whether a notice from an answer has not been broadcast at all."""
         return self._directory.notices.has_pending
 
     @property
@@ -62,7 +62,7 @@
     def collect(self, now: float) -> list[LeavingHint]:
         """Return the leaving notices to broadcast in the next message.
 
-        Only notices that this VM received in responses are included.
+        Only notices that this VM received in answers are included.
 
         Args:
             now: event-loop time.
--- a/src/ramppin/gateway/process/routing/noticeregistry.py
+++ b/src/ramppin/gateway/process/routing/noticeregistry.py
@@ -64,7 +64,7 @@
 
     @property
     def has_pending(self) -> bool:
-        """Whether a notice from a response has not been sent to the other VMs yet."""
+        """Whether a notice from an answer has not been sent to the other VMs yet."""
         return bool(self._pending_leaving or self._pending_backoffs)
 
     # entries of servers
@@ -108,7 +108,7 @@
             server_id: id of the incarnation.
             source: where the notice came from.
             now: event-loop time.
-            age_s: seconds since a VM received the notice in a response.
+            age_s: seconds since a VM received the notice in an answer.
         """
         notices = self._record_notice(server_id, age_s)
         if not notices.note_leaving(LeavingNotice(source, now - age_s)):
--- a/src/ramppin/gateway/process/routing/prefixselection.py
+++ b/src/ramppin/gateway/process/routing/prefixselection.py
@@ -137,7 +137,7 @@
             by_id: the servers to choose from, by id.
             replica_index: index among the servers below the bound; the home has 0.
             view: the loads of all open servers.
-            now: event loop time.
+            now: event-loop time.
         """
         home = self._homes.find(key)
         ranked = self._ranking.rank(key, list(by_id))
--- a/src/ramppin/gateway/process/routing/selection.py
+++ b/src/ramppin/gateway/process/routing/selection.py
@@ -80,7 +80,7 @@
         Args:
             request: properties of the request.
             states: the open servers of its service.
-            now: event loop time.
+            now: event-loop time.
         """
         eligible = list_eligible(
             states, request.exclude, request.max_in_flight, now, request.failing
@@ -112,7 +112,7 @@
             request: properties of the request.
             eligible: the servers to choose from.
             view: the loads of all open servers.
-            now: event loop time.
+            now: event-loop time.
         """
 
 
@@ -143,7 +143,7 @@
         state: the server.
         rank: see :class:`Selection`.
         view: the loads of all open servers.
-        now: event loop time.
+        now: event-loop time.
     """
     return Selection(
         state,
--- a/src/ramppin/gateway/process/routing/serverstate.py
+++ b/src/ramppin/gateway/process/routing/serverstate.py
@@ -74,7 +74,7 @@
         load: its newest load report.
         waiting: requests that wait for it, of this VM and of its peers.
         times: response times of its service.
-        health: failures and responses that this VM observed.
+        health: failures and answers that this VM observed.
         evidence: failures that all VMs observed.
         shedding: other VMs whose requests it sheds.
         coldness: whether it is cold.
@@ -82,7 +82,7 @@
         missing: whether its entry was removed.
         unreadable: whether its newest entry can't be read.
         restarted: whether it has ended, since a later start is known.
-        held_until: event loop time until which an entry that was removed around an
+        held_until: event-loop time until which an entry that was removed around an
             outage of the log remains in use, or None.
 
     .. versionadded:: 0.2
@@ -155,7 +155,7 @@
         """Return the estimated number of requests that the server holds.
 
         Args:
-            now: event loop time.
+            now: event-loop time.
             mean: mean load of the service's servers.
         """
         estimate = self.load.estimate(
--- a/src/ramppin/gateway/process/stalldetector.py
+++ b/src/ramppin/gateway/process/stalldetector.py
@@ -2,8 +2,8 @@
 
 When a process resumes after a stall of its machine or a suspension, its timers may run
 before its reads, while received bytes are still in the sockets. All servers then seem
-silent, so no conclusion may be drawn from silence. Owns the times of the regular ticks;
-code that evaluates silence checks here first. No I/O.
+unresponsive. Code that treats missing bytes as a failure therefore checks here first.
+Stores the times of the regular ticks. No I/O.
 """
 
 from __future__ import annotations
--- a/src/ramppin/gateway/request/events.py
+++ b/src/ramppin/gateway/request/events.py
@@ -13,8 +13,8 @@
 
 ID_FIELD = b"id:"
 MAX_EVENT_BYTES = 1_048_576
-"""Maximum size of an event, which bounds memory: far larger than any event of the
-simulated sites. A stream with a larger event fails."""
+"""Maximum size of an event, which bounds memory: far larger than the usual
+events. A stream with a larger event fails."""
 
 
 class EventSplitter:
--- a/src/ramppin/gateway/request/finalanswer.py
+++ b/src/ramppin/gateway/request/finalanswer.py
@@ -42,7 +42,7 @@
 
     Attributes:
         ending: how the request is ended.
-        status: HTTP status of the response or, for an aborted stream, of the server's
+        status: HTTP status of the answer or, for an aborted stream, of the server's
             last answer.
         reason: the rule that ended the request.
         retry_after_s: value of ``Retry-After`` in seconds, which replaces that of a
--- a/src/ramppin/gateway/request/servernotice.py
+++ b/src/ramppin/gateway/request/servernotice.py
@@ -1,6 +1,6 @@
 """Parses a server's notice from response headers: leaving, or a back-off request.
 
-Only the response head is needed, so a notice takes effect while the body is still being
+Only an answer's head is needed, so a notice takes effect while the body is still being
 streamed. No I/O.
 """
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerNotice:
-    """Notice of a server in one response.
+    """Notice of a server in one answer.
 
     Attributes:
         leaving: whether the server is leaving and accepts no new requests.
@@ -52,12 +52,12 @@
 def parse_notice(
     head: AnswerHead, names: HeaderNames, wall_clock: Callable[[], float] = time.time
 ) -> ServerNotice:
-    """Return the notice of the addressed server from a response head.
+    """Return the notice of the addressed server from the head of an answer.
 
     Args:
         head: status and headers.
         names: names of headers.
-        wall_clock: returns Unix time in seconds, for responses without ``Date``.
+        wall_clock: returns Unix time in seconds, for answers without ``Date``.
     """
     if head.status == MISDIRECTED:
         # Another server has taken over the address; its headers describe itself.
