--- a/features/platform/entries.feature
+++ b/features/platform/entries.feature
@@ -101,13 +101,13 @@
     Then an entry with the start <told> where <known> is known is "<verdict>"
 
     Examples:
-      | known | told | verdict |
-      | none  | none | same    |
-      | 5     | 5    | same    |
-      | none  | 5    | later   |
-      | 5     | 6    | later   |
-      | 5     | 4    | earlier |
-      | 5     | none | untold  |
+      | known | told | verdict  |
+      | none  | none | same     |
+      | 5     | 5    | same     |
+      | none  | 5    | later    |
+      | 5     | 6    | later    |
+      | 5     | 4    | earlier  |
+      | 5     | none | unstated |
 
   Scenario: what was known of a server's earlier start does not count for the later one
     Then a server that starts again under its id is known anew
